--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -2,7 +2,9 @@
 # machine; to be sourced. Everything that was started is stopped on exit.
 config=${config:-examples/demo}
 logs=$(mktemp -d)
-declare -A pids
+# bin is the folder of the programs, and bin_of that of a single process.
+bin=${bin:-bin}
+declare -A pids bin_of
 # POLICY names another routing policy than that of the settings.
 if [ -n "${POLICY:-}" ]; then
   cp -r "$config" "$logs/config"
@@ -28,14 +30,14 @@
     keeper*) program=mw-keeper ;;
     entry*) program=mw-entry ;;
   esac
-  "bin/$program" --config "$config/$name.yaml" 2>>"$logs/$name.log" &
+  "${bin_of[$name]:-$bin}/$program" --config "$config/$name.yaml" 2>>"$logs/$name.log" &
   pids[$name]=$!
 }
 
 await_ready() {
   local name=$1 address=$2
   for _ in $(seq 100); do
-    if bin/mastwinch --entry "http://$address" ready >/dev/null 2>&1; then return; fi
+    if "$bin/mastwinch" --entry "http://$address" ready >/dev/null 2>&1; then return; fi
     sleep 0.1
   done
   echo "$name did not get ready; its log is in $logs" >&2
@@ -50,7 +52,7 @@
   done
   for i in 1 2 3; do await_ready entry$i 127.0.0.1:700$i; done
   for name in register lawyers accountants; do
-    bin/mastwinch organisation put --weight 1 --max-concurrent 512 $name
+    "$bin/mastwinch" organisation put --weight 1 --max-concurrent 512 $name
   done
   sleep 0.5 # until all entries have read them
 }
