--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -12,91 +12,89 @@
 	"github.com/mastwinch/mastwinch/internal/gateway"
 )
 
-// Bounds on a request under which servers crash.
+// Limits on sending a request that crashes servers.
 const (
-	// crashesAllowed is how many servers may crash before the request counts as the cause.
+	// crashesAllowed is the number of servers that may crash before the request must be identified as the cause.
 	crashesAllowed = 3
-	// knownTime is after how long all VMs must know of it, and sendsAllowed how often it may be
-	// sent after that.
-	knownTime    = 3 * time.Second
-	sendsAllowed = 3
+	// quarantineTime is the time from that crash until all VMs must have quarantined the request, and sendsAllowed the
+	// number of times that it may still be sent afterwards.
+	quarantineTime = 3 * time.Second
+	sendsAllowed   = 3
 )
 
-// Servers crashed one after the other, each a quarter of a second after the last, and half of the
-// short prompts were refused while they were away. On each of them was a request with the same
-// path and body of the same organisation: "attempt failed lost=true" names one fingerprint for
-// nine servers in two seconds, from five VMs, always before its first event. Its callers
-// asked again at other VMs under new IDs, and what a VM knows of a request
-// ended with each try, so it was new each time and got one more server, or two where a stream is resumed:
-// "was sent to servers 15 times more; 30 ended in all". The servers were ejected, and
-// never what they had been asked.
-func TestRequestThatCrashesServersIsSentNoMore(t *testing.T) {
+// TestCrashingRequestIsQuarantined guards against one request that crashes server after server. Its clients retried it
+// through other VMs under new IDs, and each VM treated it as new and sent it to one more server, or to two where the
+// stream may be resumed: one fingerprint crashed nine servers in two seconds. The servers were ejected, but the request
+// was not quarantined, and half of the short prompts were refused while the servers restarted.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for name, test := range map[string]struct {
-		caller caller
-		// between happens between the two times that its callers come.
+		clientRequest clientRequest
+		// between runs between the two rounds of requests; nil does nothing.
 		between func(fleet *fleet)
 	}{
-		"stream that may be resumed": {caller: stream("chat")},
-		"stream that runs once":      {caller: stream("bill")},
-		"call that may be repeated":  {caller: plain(http.MethodPost, "look")},
-		"call that runs once":        {caller: plain(http.MethodPost, "pay")},
-		"its time is over": {caller: stream("chat"), between: func(*fleet) {
+		"resumable stream":           {clientRequest: streamRequest("chat")},
+		"stream that must run once":  {clientRequest: streamRequest("bill")},
+		"repeatable request":         {clientRequest: plainRequest(http.MethodPost, "look")},
+		"request that must run once": {clientRequest: plainRequest(http.MethodPost, "pay")},
+		"quarantine has expired": {clientRequest: streamRequest("chat"), between: func(*fleet) {
 			time.Sleep(gateway.DefaultSettings().Quarantine.Time)
 		}},
-		"all VMs start again": {caller: stream("chat"), between: func(fleet *fleet) {
+		"all VMs restart": {clientRequest: streamRequest("chat"), between: func(fleet *fleet) {
 			fleet.stopAll()
 			fleet.startAll()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 5, 9, func(fleet *fleet) {
-				harmful := test.caller
-				harmful.body = crashing
-				fleet.repeat(harmful, 300*time.Millisecond, 4*time.Second)
+			withFleet(t, 5, 9, func(fleet *fleet) {
+				crashingRequest := test.clientRequest
+				crashingRequest.body = crashingBody
+				fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second)
 				time.Sleep(5 * time.Second)
 				if test.between != nil {
 					test.between(fleet)
 				}
-				fleet.repeat(harmful, 300*time.Millisecond, 4*time.Second)
+				fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second)
 				crashes := fleet.crashes()
 				assert.Assert(fleet.t, len(crashes) >= crashesAllowed, "%d servers crashed", len(crashes))
-				sends := fleet.sendsAfter(crashing, crashes[crashesAllowed-1].Add(knownTime))
-				assert.Assert(fleet.t, sends <= sendsAllowed, "sent %d times more, %d servers crashed", sends, len(crashes))
+				sends := fleet.sendsAfter(crashingBody, crashes[crashesAllowed-1].Add(quarantineTime))
+				assert.Assert(fleet.t, sends <= sendsAllowed, "sent %d more times, %d servers crashed", sends, len(crashes))
 			})
 		})
 	}
 }
 
-// TestOthersAreServedWhileServersCrash has requests of other bodies on the servers that crash, and
-// callers who ask again at once: they are not taken for the cause, however often they were there.
-func TestOthersAreServedWhileServersCrash(t *testing.T) {
-	const reason = `"error":"crashes_servers"`
-	inFleet(t, 5, 9, func(fleet *fleet) {
-		harmful := stream("chat")
-		harmful.body = crashing
-		harmless := []caller{stream("bill"), stream("chat"), plain(http.MethodGet, "look")}
-		var callers sync.WaitGroup
-		var atFault []answer
-		others := make([][]answer, len(harmless))
-		callers.Go(func() { atFault = fleet.repeat(harmful, 300*time.Millisecond, 4*time.Second) })
-		for number, caller := range harmless {
-			callers.Go(func() { others[number] = fleet.repeat(caller, 60*time.Millisecond, 4*time.Second) })
+// TestOtherRequestsAreNotQuarantinedForCrashes guards against quarantining requests that merely run on the servers that
+// crash. Their bodies differ, and their clients retry at once, so the same requests are present at many crashes.
+func TestOtherRequestsAreNotQuarantinedForCrashes(t *testing.T) {
+	const wantReason = `"error":"crashes_servers"`
+	withFleet(t, 5, 9, func(fleet *fleet) {
+		crashingRequest := streamRequest("chat")
+		crashingRequest.body = crashingBody
+		otherRequests := []clientRequest{streamRequest("bill"), streamRequest("chat"), plainRequest(http.MethodGet, "look")}
+		var clients sync.WaitGroup
+		var crashingResponses []clientResponse
+		otherResponses := make([][]clientResponse, len(otherRequests))
+		clients.Go(func() { crashingResponses = fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second) })
+		for number, clientRequest := range otherRequests {
+			clients.Go(func() {
+				otherResponses[number] = fleet.queryRetrying(clientRequest, 60*time.Millisecond, 4*time.Second)
+			})
 		}
-		callers.Wait()
-		last := atFault[len(atFault)-1]
+		clients.Wait()
+		last := crashingResponses[len(crashingResponses)-1]
 		assert.Equal(fleet.t, last.status, http.StatusServiceUnavailable)
-		assert.Assert(fleet.t, strings.Contains(last.body, reason), last.body)
+		assert.Assert(fleet.t, strings.Contains(last.body, wantReason), last.body)
 		assert.Assert(fleet.t, strings.Contains(last.body, `"not_run":true`), last.body)
 		assert.Assert(fleet.t, last.header.Get("Retry-After") > "10", last.header.Get("Retry-After"))
-		assert.Assert(fleet.t, last.took < 20*time.Millisecond, "%s", last.took)
-		for _, answers := range others {
-			for _, got := range answers {
-				assert.Assert(fleet.t, !strings.Contains(got.body, reason), got.body)
+		assert.Assert(fleet.t, last.duration < 20*time.Millisecond, "%s", last.duration)
+		for _, responses := range otherResponses {
+			for _, got := range responses {
+				assert.Assert(fleet.t, !strings.Contains(got.body, wantReason), got.body)
 			}
 		}
 		time.Sleep(entryTime)
-		for _, caller := range harmless {
-			for _, got := range fleet.repeat(caller, 100*time.Millisecond, time.Second) {
+		for _, clientRequest := range otherRequests {
+			for _, got := range fleet.queryRetrying(clientRequest, 100*time.Millisecond, time.Second) {
 				assert.Equal(fleet.t, got.status, http.StatusOK, got.body)
 			}
 		}
--- /dev/null
+++ b/internal/gateway/disconnect_test.go
@@ -0,0 +1,85 @@
+package gateway_test
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestDisconnectedClientsCancelRequests has clients that disconnect while their request is queued, waits for its first event
+// or is not complete. Its server must receive the cancellation within half a second, and no server may receive it later.
+func TestDisconnectedClientsCancelRequests(t *testing.T) {
+	// Longer than the key/value memory of the only engine, so that it stays queued.
+	tooLong := streamRequest("chat").with("Token-Counts", "300000,500")
+	incomplete := plainRequest(http.MethodPost, "pay").with("Content-Length", "10")
+	for name, test := range map[string]struct {
+		clientRequest clientRequest
+		// reachesServer reports whether the request reaches a server before its client disconnects.
+		reachesServer bool
+	}{
+		"queued":                     {clientRequest: tooLong},
+		"waits for its first event":  {clientRequest: streamRequest("chat"), reachesServer: true},
+		"waits for a plain response": {clientRequest: plainRequest(http.MethodGet, "look"), reachesServer: true},
+		"body incomplete":            {clientRequest: incomplete},
+	} {
+		t.Run(name, func(t *testing.T) {
+			cancelledAt := make(chan time.Time, 10)
+			waitForCancellation := func(_ *harness, _ int, _ http.ResponseWriter, request *http.Request) {
+				<-request.Context().Done()
+				cancelledAt <- time.Now()
+			}
+			withHarness(t, map[string]backend{"one": waitForCancellation}, map[string]backend{"one": waitForCancellation}, func(harness *harness) {
+				test.clientRequest.disconnectAfter = 300 * time.Millisecond
+				harness.query(test.clientRequest)
+				disconnectedAt := time.Now()
+				received := len(harness.requests())
+				assert.Equal(t, received > 0, test.reachesServer)
+				time.Sleep(12 * time.Second)
+				assert.Equal(t, len(harness.requests()), received, "no request may reach a server after the client has disconnected")
+				if test.reachesServer {
+					assert.Assert(t, (<-cancelledAt).Sub(disconnectedAt) < 500*time.Millisecond)
+				}
+			})
+		})
+	}
+}
+
+// TestReadyVMServesNewConnections guards against reporting ready too early or for too long: whenever a VM reports that it
+// is ready, it must serve a new connection, also right after its start and while the store is unreachable.
+func TestReadyVMServesNewConnections(t *testing.T) {
+	servers := map[string]backend{"one": responses(http.StatusOK, "run")}
+	withHarness(t, nil, servers, func(harness *harness) {
+		harness.finish()
+		go harness.start()
+		checked := 0
+		for i := range 200 {
+			time.Sleep(5 * time.Millisecond)
+			if i == 100 {
+				harness.store.SetFault(metastoreSilent)
+			}
+			if !harness.ready() {
+				continue
+			}
+			checked++
+			assert.Equal(t, harness.query(plainRequest(http.MethodGet, "look")).status, http.StatusOK)
+		}
+		assert.Assert(t, checked > 100)
+	})
+}
+
+func TestDisconnectedClientCancelsStream(t *testing.T) {
+	cancelledAt := make(chan time.Time, 1)
+	servers := map[string]backend{"one": func(_ *harness, _ int, _ http.ResponseWriter, request *http.Request) {
+		<-request.Context().Done()
+		cancelledAt <- time.Now()
+	}}
+	withHarness(t, servers, nil, func(harness *harness) {
+		clientRequest := streamRequest("chat")
+		clientRequest.disconnectAfter = 300 * time.Millisecond
+		started := time.Now()
+		harness.query(clientRequest)
+		assert.Assert(t, (<-cancelledAt).Sub(started) < 800*time.Millisecond)
+	})
+}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -19,72 +19,73 @@
 	"github.com/mastwinch/mastwinch/internal/standin/metastore"
 )
 
-// Times of servers that crash, as the platform has them.
+// Times of servers that crash, as the platform defines them.
 const (
-	// restartTime is how long a server that crashed is away.
+	// restartTime is the time from a crash until the server accepts connections again.
 	restartTime = 1500 * time.Millisecond
-	// entryTime is how long its entry stays listed.
+	// entryTime is the time from a crash until the server's entry is deleted.
 	entryTime = 3600 * time.Millisecond
-	// readTime is how long a server reads before it begins to run a request.
+	// readTime is the time from the arrival of a request until a server starts to run it.
 	readTime = 50 * time.Millisecond
-	// crashTime is how long it runs one until it crashes.
+	// crashTime is the time for which a server runs a crashing request until it crashes.
 	crashTime = 40 * time.Millisecond
 )
 
-// crashing is the body of a request under which each server crashes that begins to run it.
-const crashing = "body that no server survives"
+// crashingBody is the body of a request that crashes each server that runs it.
+const crashingBody = "body that no server survives"
 
-// fleet is a few VMs before servers that can crash, in virtual time.
+// fleet runs several VMs in front of servers that can crash, in virtual time.
 type fleet struct {
-	*world
-
-	// apply is the bound on new configurations, or zero for none: from some seconds on VMs read through each other.
-	apply time.Duration
-	// slack is that of retries over all VMs, or zero for the usual one.
-	slack float64
-	// memory is what each VM may use in bytes, or zero for the usual.
-	memory int64
-	vms    []*fleetVM
-	// servers has those of both services.
+	*harness
+
+	// applyBound is the time within which a configuration must be applied; zero means no bound. From some seconds on,
+	// VMs read the store through each other.
+	applyBound time.Duration
+	// retrySlack is the retry slack of all VMs together; zero means that of newSite.
+	retrySlack float64
+	// memoryBytes is the memory of each VM; zero means that of newSite.
+	memoryBytes int64
+	vms         []*fleetVM
+	// servers has the servers of both services, which alternate.
 	servers []*fleetServer
 }
 
-// fleetVM is one VM of a fleet.
+// fleetVM is one VM of a fleet. Numbers start at one.
 type fleetVM struct {
-	number  int
-	served  *gateway.Gateway
-	stop    context.CancelFunc
-	stopped chan error
+	number   int
+	instance *gateway.Gateway
+	stop     context.CancelFunc
+	stopped  chan error
 }
 
 func (vm *fleetVM) name() string { return fmt.Sprintf("vm-%d", vm.number) }
 
 func (vm *fleetVM) address() string { return fmt.Sprintf("10.0.1.%d:80", vm.number) }
 
-// inFleet runs a test before so many VMs and servers of each service.
-func inFleet(t *testing.T, vms, servers int, test func(fleet *fleet)) {
+// withFleet runs a test with a number of VMs, and of servers of each service.
+func withFleet(t *testing.T, vms, servers int, test func(fleet *fleet)) {
 	t.Helper()
-	inFleetBound(t, vms, servers, 0, test)
+	withFleetApplyBound(t, vms, servers, 0, test)
 }
 
-// inFleetBound is inFleet with a bound on new configurations.
-func inFleetBound(t *testing.T, vms, servers int, apply time.Duration, test func(fleet *fleet)) {
+// withFleetApplyBound is withFleet with a bound on applying configurations.
+func withFleetApplyBound(t *testing.T, vms, servers int, applyBound time.Duration, test func(fleet *fleet)) {
 	t.Helper()
-	runFleet(t, vms, servers, &fleet{apply: apply}, test)
+	runFleet(t, vms, servers, &fleet{applyBound: applyBound}, test)
 }
 
-// inFleetSlack is inFleet with so many retries beside those that requests earn.
-func inFleetSlack(t *testing.T, vms, servers int, slack float64, test func(fleet *fleet)) {
+// withFleetRetrySlack is withFleet with a retry slack: the retries that are allowed beyond the retry ratio.
+func withFleetRetrySlack(t *testing.T, vms, servers int, retrySlack float64, test func(fleet *fleet)) {
 	t.Helper()
-	runFleet(t, vms, servers, &fleet{slack: slack}, test)
+	runFleet(t, vms, servers, &fleet{retrySlack: retrySlack}, test)
 }
 
-// runFleet runs a test before so many VMs and servers of each service.
+// runFleet starts the VMs and servers of a fleet, runs a test and stops them.
 func runFleet(t *testing.T, vms, servers int, fleet *fleet, test func(fleet *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		fleet.world = &world{
-			t: t, network: memnet.New(), store: metastore.New(), seen: make(map[string][]seenRequest),
+		fleet.harness = &harness{
+			t: t, network: memnet.New(), store: metastore.New(), received: make(map[string][]receivedRequest),
 		}
 		store := fleet.listen(storeAddress, fleet.store)
 		defer func() { _ = store.Close() }()
@@ -99,21 +100,21 @@
 			fleet.vms = append(fleet.vms, &fleetVM{number: number + 1})
 		}
 		fleet.startAll()
-		defer fleet.end()
+		defer fleet.shutdown()
 		test(fleet)
 	})
 }
 
-// end stops all that runs, also after a test that failed.
-func (fleet *fleet) end() {
+// shutdown stops all VMs and servers, also after a failed test.
+func (fleet *fleet) shutdown() {
 	fleet.stopAll()
-	time.Sleep(entryTime) // servers that crashed are back
+	time.Sleep(entryTime) // until crashed servers have restarted
 	for _, server := range fleet.servers {
 		server.close()
 	}
 }
 
-// startAll starts all VMs, and waits until they know each other.
+// startAll starts all VMs and waits until they have discovered each other.
 func (fleet *fleet) startAll() {
 	for _, vm := range fleet.vms {
 		fleet.start(vm)
@@ -125,15 +126,15 @@
 	site := newSite()
 	site.VM = vm.name()
 	site.DataCentre = fmt.Sprintf("centre-%d", vm.number%3)
-	site.Regions = regionsOf()
+	site.Regions = fleetRegions()
 	site.Address = vm.address()
 	site.ReadyAddress = fmt.Sprintf("10.0.1.%d:81", vm.number)
 	site.PeerAddress = fmt.Sprintf("10.0.1.%d:82", vm.number)
-	site.Bounds.Apply = fleet.apply
-	site.MemoryBytes = cmp.Or(fleet.memory, site.MemoryBytes)
-	site.Bounds.RetrySlack = cmp.Or(fleet.slack, site.Bounds.RetrySlack)
+	site.Bounds.Apply = fleet.applyBound
+	site.MemoryBytes = cmp.Or(fleet.memoryBytes, site.MemoryBytes)
+	site.Bounds.RetrySlack = cmp.Or(fleet.retrySlack, site.Bounds.RetrySlack)
 	vm.stopped = make(chan error, 1)
-	vm.served, vm.stop = fleet.startAt(site, vm.stopped)
+	vm.instance, vm.stop = fleet.startAt(site, vm.stopped)
 }
 
 func (fleet *fleet) stop(vm *fleetVM) {
@@ -141,7 +142,7 @@
 	assert.Check(fleet.t, <-vm.stopped)
 }
 
-// stopAll stops all VMs at once, and waits for their ends.
+// stopAll stops all VMs at the same time and waits until they have ended.
 func (fleet *fleet) stopAll() {
 	for _, vm := range fleet.vms {
 		vm.stop()
@@ -151,18 +152,18 @@
 	}
 }
 
-// fleetServer is a server at one address. Each start of it has an ID of its own.
+// fleetServer is a server at a fixed address. Each start of it has a new ID.
 type fleetServer struct {
 	fleet   *fleet
 	service string
 	address string
-	// script answers requests, or nil for the usual answers. It is set before any come.
+	// script handles requests; nil means the default responses. It is set before the first request.
 	script backend
 
 	mu      sync.Mutex
 	starts  int
 	running io.Closer
-	// crashed has when it crashed.
+	// crashed has the times of its crashes.
 	crashed []time.Time
 }
 
@@ -171,8 +172,8 @@
 	defer server.mu.Unlock()
 	server.starts++
 	id := server.id()
-	server.running = server.fleet.listen(server.address, server.fleet.scripted(id, server.onlyAs(id)))
-	server.fleet.list(id, server.service, server.address, "ready")
+	server.running = server.fleet.listen(server.address, server.fleet.scripted(id, server.rejectOtherInstances(id)))
+	server.fleet.putServer(id, server.service, server.address, "ready")
 }
 
 func (server *fleetServer) close() {
@@ -181,43 +182,43 @@
 	_ = server.running.Close()
 }
 
-// onlyAs turns requests away that are meant for an earlier start.
-func (server *fleetServer) onlyAs(id string) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// rejectOtherInstances refuses requests that expect an earlier start of the server.
+func (server *fleetServer) rejectOtherInstances(id string) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("Expect-Instance") != id {
-			refuses(http.StatusMisdirectedRequest)(world, nth, writer, request)
+			refuse(http.StatusMisdirectedRequest)(harness, nth, writer, request)
 			return
 		}
-		server.serve(world, nth, writer, request)
+		server.serve(harness, nth, writer, request)
 	}
 }
 
-// serve crashes under a request whose body says so, and answers the others.
-func (server *fleetServer) serve(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
-	body := server.fleet.lastBodyOf(request.Header.Get("Request-Id"))
+// serve crashes on a request with crashingBody and responds to all others.
+func (server *fleetServer) serve(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
+	body := server.fleet.bodyOf(request.Header.Get("Request-Id"))
 	time.Sleep(readTime)
-	if body == crashing {
+	if body == crashingBody {
 		time.Sleep(crashTime)
 		server.crash()
 		return
 	}
 	if server.script != nil {
-		server.script(world, nth, writer, request)
+		server.script(harness, nth, writer, request)
 		return
 	}
 	if server.service == "plain" {
-		answers(http.StatusOK, "fine")(world, nth, writer, request)
+		responses(http.StatusOK, "fine")(harness, nth, writer, request)
 		return
 	}
-	streams(8, 0)(world, nth, writer, request)
+	streamEvents(8, 0)(harness, nth, writer, request)
 }
 
-// crash breaks all connections, and starts the server anew after a while.
+// crash closes all connections and restarts the server after restartTime.
 func (server *fleetServer) crash() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.running == nil {
-		return // it crashed a moment ago
+		return // already crashed and not yet restarted
 	}
 	id := server.id()
 	_ = server.running.Close()
@@ -227,17 +228,17 @@
 	time.AfterFunc(entryTime, func() { server.fleet.store.Put("keyed.servers", id, nil) })
 }
 
-// lastBodyOf returns the body of a request by its ID.
-func (fleet *fleet) lastBodyOf(id string) string {
-	for _, seen := range fleet.requests() {
-		if seen.Header.Get("Request-Id") == id {
-			return seen.Body
+// bodyOf returns the body of the request with an ID, or an empty string where no server has received it.
+func (fleet *fleet) bodyOf(id string) string {
+	for _, received := range fleet.requests() {
+		if received.Header.Get("Request-Id") == id {
+			return received.Body
 		}
 	}
 	return ""
 }
 
-// crashes returns when servers crashed, in order.
+// crashes returns the times at which servers crashed, in order.
 func (fleet *fleet) crashes() []time.Time {
 	var all []time.Time
 	for _, server := range fleet.servers {
@@ -249,72 +250,72 @@
 	return all
 }
 
-// sendsAfter counts the requests with a body that reached servers after a moment.
-func (fleet *fleet) sendsAfter(body string, moment time.Time) int {
+// sendsAfter counts the requests with a body that reached servers after a time.
+func (fleet *fleet) sendsAfter(body string, after time.Time) int {
 	count := 0
-	for _, seen := range fleet.requests() {
-		if seen.Body == body && seen.At.After(moment) {
+	for _, received := range fleet.requests() {
+		if received.Body == body && received.At.After(after) {
 			count++
 		}
 	}
 	return count
 }
 
-// headerVM names to servers the VM that a caller asked.
+// headerVM is the request header in which tests pass the address of the VM to the servers.
 const headerVM = "X-Vm"
 
-// spread lets callers ask for the same at VMs in turn, one each pause for so long.
-func (fleet *fleet) spread(caller caller, pause, long time.Duration) {
-	var asking sync.WaitGroup
-	for number := range int(long / pause) {
-		again := caller
-		again.vm = fleet.vms[number%len(fleet.vms)].address()
-		asking.Go(func() { fleet.ask(again.with(headerVM, again.vm)) })
-		time.Sleep(pause)
+// queryTaggedRoundRobin sends copies of a request to the VMs in turn, one per interval for a duration, each with headerVM.
+func (fleet *fleet) queryTaggedRoundRobin(clientRequest clientRequest, interval, duration time.Duration) {
+	var clients sync.WaitGroup
+	for number := range int(duration / interval) {
+		attempt := clientRequest
+		attempt.vm = fleet.vms[number%len(fleet.vms)].address()
+		clients.Go(func() { fleet.query(attempt.with(headerVM, attempt.vm)) })
+		time.Sleep(interval)
 	}
-	asking.Wait()
+	clients.Wait()
 }
 
-// reachedFrom returns when requests of a VM reached a server.
-func (fleet *fleet) reachedFrom(vm *fleetVM, server *fleetServer) []time.Time {
+// arrivalsFrom returns the times at which requests from a VM reached a server.
+func (fleet *fleet) arrivalsFrom(vm *fleetVM, server *fleetServer) []time.Time {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	var times []time.Time
-	for _, seen := range fleet.seen[server.id()] {
-		if seen.Header.Get(headerVM) == vm.address() {
-			times = append(times, seen.At)
+	for _, received := range fleet.received[server.id()] {
+		if received.Header.Get(headerVM) == vm.address() {
+			times = append(times, received.At)
 		}
 	}
 	return times
 }
 
-// id is that of its present start.
+// id returns the ID of the current start.
 func (server *fleetServer) id() string {
 	return fmt.Sprintf("%s-%s-%d", server.service, server.address, server.starts)
 }
 
-// repeat lets callers ask for the same at VMs in turn, one each pause for so long, and returns what
-// they got. Each asks once more at the next VM after a failure.
-func (fleet *fleet) repeat(caller caller, pause, long time.Duration) []answer {
+// queryRetrying sends copies of a request to the VMs in turn, one per interval for a duration, and returns all responses. A
+// request that fails is retried once, at the next VM.
+func (fleet *fleet) queryRetrying(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
 	var mu sync.Mutex
-	var answers []answer
-	var asking sync.WaitGroup
-	for number := range int(long / pause) {
-		asking.Go(func() {
-			for try := range 2 {
-				again := caller
-				again.vm = fleet.vms[(number+try)%len(fleet.vms)].address()
-				got := fleet.ask(again)
+	var responses []clientResponse
+	var clients sync.WaitGroup
+	for number := range int(duration / interval) {
+		clients.Go(func() {
+			for retry := range 2 {
+				attempt := clientRequest
+				attempt.vm = fleet.vms[(number+retry)%len(fleet.vms)].address()
+				got := fleet.query(attempt)
 				mu.Lock()
-				answers = append(answers, got)
+				responses = append(responses, got)
 				mu.Unlock()
-				if got.status == http.StatusOK && got.whole {
+				if got.status == http.StatusOK && got.complete {
 					return
 				}
 			}
 		})
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
-	asking.Wait()
-	return answers
+	clients.Wait()
+	return responses
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -14,124 +14,122 @@
 	"github.com/mastwinch/mastwinch/internal/standin/metastore"
 )
 
-// Bounds on what reaches a server after it spoke of itself.
+// Bounds on the requests that reach a server after it has reported that it drains or backs off.
 const (
-	// drainTime is how long after an answer that says that its server leaves that one may get requests of the VM.
+	// drainTime is the time after a response with a drain notice in which its server may still receive requests from the VM.
 	drainTime = 2 * time.Second
-	// restTime is the rest that servers ask for, restNotice the time until it must be heeded, and restSends how many
-	// requests of the VM may reach the server from then on until it is over.
-	restTime   = 3 * time.Second
-	restNotice = 500 * time.Millisecond
-	restSends  = 2
+	// backoffTime is the Retry-After that servers report and backoffNotice the time in which it must be observed. From then
+	// until the end of backoffTime, backoffSends requests from the VM may reach the server.
+	backoffTime   = 3 * time.Second
+	backoffNotice = 500 * time.Millisecond
+	backoffSends  = 2
 )
 
-// leaves answers like another server, and says that it leaves.
-func leaves(answer backend) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// draining wraps a backend so that its responses report that the server drains.
+func draining(next backend) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Server-Leaving", "1")
-		answer(world, nth, writer, request)
+		next(harness, nth, writer, request)
 	}
 }
 
-// rests turns requests away and asks for rest.
-func rests() backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set("Retry-After", strconv.FormatFloat(restTime.Seconds(), 'f', -1, 64))
-		refuses(http.StatusServiceUnavailable)(world, nth, writer, request)
+// refuseWithRetryAfter returns a backend that refuses requests with a Retry-After of backoffTime.
+func refuseWithRetryAfter() backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
+		writer.Header().Set("Retry-After", strconv.FormatFloat(backoffTime.Seconds(), 'f', -1, 64))
+		refuse(http.StatusServiceUnavailable)(harness, nth, writer, request)
 	}
 }
 
-// eachThird does one thing with two of three requests, another with the third.
-func eachThird(most, third backend) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// everyThird handles every third request with one backend and the others with another.
+func everyThird(usual, third backend) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		if nth%3 == 2 {
-			third(world, nth, writer, request)
+			third(harness, nth, writer, request)
 			return
 		}
-		most(world, nth, writer, request)
+		usual(harness, nth, writer, request)
 	}
 }
 
-// takes answers after a while.
-func takes(long time.Duration, answer backend) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
-		time.Sleep(long)
-		answer(world, nth, writer, request)
+// withLatency wraps a backend so that it responds after a delay.
+func withLatency(latency time.Duration, next backend) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
+		time.Sleep(latency)
+		next(harness, nth, writer, request)
 	}
 }
 
-// noting notes when it turns a request away.
-func noting(turned *[]time.Time, turnsAway backend) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
-		world.mu.Lock()
-		*turned = append(*turned, time.Now())
-		world.mu.Unlock()
-		turnsAway(world, nth, writer, request)
+// recordRefusals wraps a backend that refuses requests and records the times of its refusals.
+func recordRefusals(refusedAt *[]time.Time, refuse backend) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
+		harness.mu.Lock()
+		*refusedAt = append(*refusedAt, time.Now())
+		harness.mu.Unlock()
+		refuse(harness, nth, writer, request)
 	}
 }
 
-// askFor lets callers come one each pause for so long.
-func (world *world) askFor(caller caller, pause, long time.Duration) []answer {
+// queryEvery sends copies of a request, one per interval for a duration, and returns all responses.
+func (harness *harness) queryEvery(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
 	var mu sync.Mutex
-	var answers []answer
-	var asking sync.WaitGroup
-	for range int(long / pause) {
-		asking.Go(func() {
-			got := world.ask(caller)
+	var responses []clientResponse
+	var clients sync.WaitGroup
+	for range int(duration / interval) {
+		clients.Go(func() {
+			got := harness.query(clientRequest)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, got)
+			responses = append(responses, got)
 		})
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
-	asking.Wait()
-	return answers
+	clients.Wait()
+	return responses
 }
 
-// reached returns when requests reached a server.
-func (world *world) reached(id string) []time.Time {
-	world.mu.Lock()
-	defer world.mu.Unlock()
-	times := make([]time.Time, 0, len(world.seen[id]))
-	for _, seen := range world.seen[id] {
-		times = append(times, seen.At)
+// arrivals returns the times at which requests reached a server.
+func (harness *harness) arrivals(id string) []time.Time {
+	harness.mu.Lock()
+	defer harness.mu.Unlock()
+	times := make([]time.Time, 0, len(harness.received[id]))
+	for _, received := range harness.received[id] {
+		times = append(times, received.At)
 	}
 	return times
 }
 
-// A server said in its answers that it leaves, and went on getting requests for as long as it answered: 16 from five
-// VMs in ten seconds, of one VM 2.2 s and more after it had passed such an answer on. The store was away, "source lost"
-// at 34.56 s, so the server's own entry was in the list at 47.58 s only; "server leaves" is logged at no VM before that,
-// and the requests were placed 1.4 ms after they came. Leaving was known from the list alone: the header of an answer
-// had no decoder.
-func TestServerThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
-	fine := answers(http.StatusOK, "fine")
-	open := plain(http.MethodGet, "open").with("Authorization", "")
+// TestDrainNoticeStopsRequests guards against requests to a server that reports in its responses that it drains. The header
+// was not read, and the store was unreachable, so that the VMs read the entry that says so 13 s after the store had failed. The
+// server received 16 requests from five VMs in ten seconds, some of them 2.2 s and more after the first such response.
+func TestDrainNoticeStopsRequests(t *testing.T) {
+	fine := responses(http.StatusOK, "fine")
+	open := plainRequest(http.MethodGet, "open").with("Authorization", "")
 	for name, test := range map[string]struct {
-		caller caller
-		leaves backend
-		// away lets the store answer nothing.
-		away bool
+		clientRequest clientRequest
+		draining      backend
+		// storeDown makes the store fail all calls.
+		storeDown bool
 	}{
-		"a success, the store is away": {caller: open, leaves: fine, away: true},
-		"a success":                    {caller: plain(http.MethodGet, "look"), leaves: fine},
-		"a stream":                     {caller: stream("chat"), leaves: streams(3, 0)},
-		"a failure":                    {caller: plain(http.MethodPost, "pay"), leaves: answers(http.StatusInternalServerError, "failed")},
-		"no such thing":                {caller: plain(http.MethodPost, "pay"), leaves: answers(http.StatusNotFound, "none")},
-		"turned away":                  {caller: plain(http.MethodPost, "pay"), leaves: refuses(http.StatusServiceUnavailable)},
+		"success while the store is unreachable": {clientRequest: open, draining: fine, storeDown: true},
+		"success":                                {clientRequest: plainRequest(http.MethodGet, "look"), draining: fine},
+		"stream":                                 {clientRequest: streamRequest("chat"), draining: streamEvents(3, 0)},
+		"failure":                                {clientRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusInternalServerError, "failed")},
+		"not found":                              {clientRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusNotFound, "none")},
+		"refused":                                {clientRequest: plainRequest(http.MethodPost, "pay"), draining: refuse(http.StatusServiceUnavailable)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			engines := map[string]backend{"one": leaves(test.leaves), "two": streams(3, 0)}
-			services := map[string]backend{"one": leaves(test.leaves), "two": fine}
-			inWorld(t, engines, services, func(world *world) {
-				if test.away {
-					world.store.SetFault(metastore.FaultBusy)
+			engines := map[string]backend{"one": draining(test.draining), "two": streamEvents(3, 0)}
+			services := map[string]backend{"one": draining(test.draining), "two": fine}
+			withHarness(t, engines, services, func(harness *harness) {
+				if test.storeDown {
+					harness.store.SetFault(metastore.FaultBusy)
 				}
-				world.askFor(test.caller, 50*time.Millisecond, 2*drainTime)
+				harness.queryEvery(test.clientRequest, 50*time.Millisecond, 2*drainTime)
 				for _, id := range []string{"engines-one", "plain-one"} {
-					reached := world.reached(id)
-					for _, at := range reached {
-						assert.Assert(t, at.Sub(reached[0]) <= drainTime, "%d requests, one %s after the first answer", len(reached), at.Sub(reached[0]))
+					arrivals := harness.arrivals(id)
+					for _, at := range arrivals {
+						assert.Assert(t, at.Sub(arrivals[0]) <= drainTime, "%d requests, one %s after the first", len(arrivals), at.Sub(arrivals[0]))
 					}
 				}
 			})
@@ -139,117 +137,115 @@
 	}
 }
 
-// An engine turned a VM's requests away and asked for 3 s of rest; in that time it got three more from this VM, the
-// last one 1.93 s later, and turned them away too. In the first play, where no bound was broken, an engine that
-// turned all away got eight requests in three seconds. "attempt failed ... status=503 suspect=false" says why: the time
-// in the answer was not read, two failures in a row made the engine suspect for one second, and each stream that it
-// had begun before and ended well took that back. The next engine took the request 0.15 s after it came, so room was
-// not what was missing.
-func TestServerThatAsksForRestGetsIt(t *testing.T) {
-	fine := takes(100*time.Millisecond, answers(http.StatusOK, "fine"))
-	failing := answers(http.StatusInternalServerError, "failed")
+// TestRetryAfterOfServerIsObserved guards against requests to a server that has refused one with a Retry-After. The header
+// was not read. Two consecutive failures ejected an engine for one second only, and each earlier stream that completed there
+// ended the ejection: an engine that reported 3 s received three more requests from the VM in that time, although other
+// engines had capacity.
+func TestRetryAfterOfServerIsObserved(t *testing.T) {
+	fine := withLatency(100*time.Millisecond, responses(http.StatusOK, "fine"))
+	failing := responses(http.StatusInternalServerError, "failed")
 	for name, test := range map[string]struct {
-		caller caller
-		// begins is what the server that asks for rest does with two of three requests, or nil.
+		clientRequest clientRequest
+		// begins handles two of three requests to the server that refuses the third; nil means that it refuses all.
 		begins backend
-		// others are the servers beside it.
-		others map[string]backend
+		// otherServers has the other servers of the service.
+		otherServers map[string]backend
 	}{
-		"it ends what it has":    {caller: stream("chat"), begins: streams(40, 0), others: map[string]backend{"two": streams(40, 0)}},
-		"it serves some":         {caller: plain(http.MethodPost, "pay"), begins: fine, others: map[string]backend{"two": fine}},
-		"all others fail":        {caller: stream("chat"), others: map[string]backend{"two": failing}},
-		"an engine alone":        {caller: stream("chat")},
-		"a plain server alone":   {caller: plain(http.MethodPost, "pay")},
-		"a plain server of many": {caller: plain(http.MethodPost, "pay"), others: map[string]backend{"two": fine, "three": fine}},
+		"engine that completes other streams":    {clientRequest: streamRequest("chat"), begins: streamEvents(40, 0), otherServers: map[string]backend{"two": streamEvents(40, 0)}},
+		"plain server that serves some requests": {clientRequest: plainRequest(http.MethodPost, "pay"), begins: fine, otherServers: map[string]backend{"two": fine}},
+		"all other engines fail":                 {clientRequest: streamRequest("chat"), otherServers: map[string]backend{"two": failing}},
+		"only engine":                            {clientRequest: streamRequest("chat")},
+		"only plain server":                      {clientRequest: plainRequest(http.MethodPost, "pay")},
+		"one of three plain servers":             {clientRequest: plainRequest(http.MethodPost, "pay"), otherServers: map[string]backend{"two": fine, "three": fine}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var turned []time.Time
-			resting := noting(&turned, rests())
+			var refusedAt []time.Time
+			refusing := recordRefusals(&refusedAt, refuseWithRetryAfter())
 			if test.begins != nil {
-				resting = eachThird(test.begins, resting)
+				refusing = everyThird(test.begins, refusing)
 			}
-			servers := map[string]backend{"one": resting}
-			maps.Copy(servers, test.others)
-			inWorld(t, servers, servers, func(world *world) {
-				world.askFor(test.caller, 40*time.Millisecond, 3*restTime)
-				assert.Assert(t, len(turned) > 0)
+			servers := map[string]backend{"one": refusing}
+			maps.Copy(servers, test.otherServers)
+			withHarness(t, servers, servers, func(harness *harness) {
+				harness.queryEvery(test.clientRequest, 40*time.Millisecond, 3*backoffTime)
+				assert.Assert(t, len(refusedAt) > 0)
 				for _, id := range []string{"engines-one", "plain-one"} {
-					assertRests(t, turned, world.reached(id))
+					assertBackoff(t, refusedAt, harness.arrivals(id))
 				}
 			})
 		})
 	}
 }
 
-// assertRests checks that a server had its rest after each time that it turned a request away.
-func assertRests(t *testing.T, turned, reached []time.Time) {
+// assertBackoff checks that at most backoffSends requests reached a server during the backoff after each of its refusals.
+func assertBackoff(t *testing.T, refusedAt, arrivals []time.Time) {
 	t.Helper()
-	for _, turnedAway := range turned {
+	for _, refused := range refusedAt {
 		sends := 0
-		for _, at := range reached {
-			if passed := at.Sub(turnedAway); passed > restNotice && passed < restTime {
+		for _, at := range arrivals {
+			if elapsed := at.Sub(refused); elapsed > backoffNotice && elapsed < backoffTime {
 				sends++
 			}
 		}
-		assert.Assert(t, sends <= restSends, "of %d requests %d came in the rest after one", len(reached), sends)
+		assert.Assert(t, sends <= backoffSends, "%d requests in all, %d of them during the backoff after one refusal", len(arrivals), sends)
 	}
 }
 
-// TestCallersAreToldWhenServersHaveRested: while the only server of a service rests, its callers are refused at once,
-// and told to return when the rest is over.
-func TestCallersAreToldWhenServersHaveRested(t *testing.T) {
-	for name, caller := range map[string]caller{
-		"an engine": stream("chat"), "a plain server": plain(http.MethodPost, "pay"),
+// TestRefusalCarriesBackoffOfServer has a service whose only server has reported a Retry-After. Until then requests must be
+// refused at once, and the Retry-After of the refusals must not end before that of the server.
+func TestRefusalCarriesBackoffOfServer(t *testing.T) {
+	for name, clientRequest := range map[string]clientRequest{
+		"engine": streamRequest("chat"), "plain server": plainRequest(http.MethodPost, "pay"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			servers := map[string]backend{"one": rests()}
-			inWorld(t, servers, servers, func(world *world) {
-				began := time.Now()
-				world.ask(caller)
-				for _, got := range world.askFor(caller, 100*time.Millisecond, restTime/2) {
+			servers := map[string]backend{"one": refuseWithRetryAfter()}
+			withHarness(t, servers, servers, func(harness *harness) {
+				startedAt := time.Now()
+				harness.query(clientRequest)
+				for _, got := range harness.queryEvery(clientRequest, 100*time.Millisecond, backoffTime/2) {
 					assert.Equal(t, got.status, http.StatusServiceUnavailable)
-					assert.Assert(t, got.took < 20*time.Millisecond, "%s", got.took)
+					assert.Assert(t, got.duration < 20*time.Millisecond, "%s", got.duration)
 					assert.Assert(t, strings.Contains(got.body, `"not_run":true`), got.body)
 					seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 					assert.NilError(t, err)
-					assert.Assert(t, seconds > 0 && seconds < 2*restTime.Seconds(), "%v", seconds)
-					returns := got.at.Add(time.Duration(seconds * float64(time.Second)))
-					assert.Assert(t, returns.Sub(began) >= restTime, "told to return %s after the rest began", returns.Sub(began))
+					assert.Assert(t, seconds > 0 && seconds < 2*backoffTime.Seconds(), "%v", seconds)
+					retryAt := got.headersAt.Add(time.Duration(seconds * float64(time.Second)))
+					assert.Assert(t, retryAt.Sub(startedAt) >= backoffTime, "Retry-After ends %s after the backoff began", retryAt.Sub(startedAt))
 				}
 			})
 		})
 	}
 }
 
-// usual is what servers of both services do with requests of callers, by their names.
-func usual() map[string]struct {
-	caller  caller
-	answers backend
+// normal returns a request and a backend without faults for each service, by the name of the case.
+func normal() map[string]struct {
+	clientRequest clientRequest
+	responses     backend
 } {
 	return map[string]struct {
-		caller  caller
-		answers backend
+		clientRequest clientRequest
+		responses     backend
 	}{
-		"engines":       {caller: stream("chat"), answers: streams(40, 0)},
-		"plain servers": {caller: plain(http.MethodGet, "look"), answers: takes(100*time.Millisecond, answers(http.StatusOK, "fine"))},
+		"engines":       {clientRequest: streamRequest("chat"), responses: streamEvents(40, 0)},
+		"plain servers": {clientRequest: plainRequest(http.MethodGet, "look"), responses: withLatency(100*time.Millisecond, responses(http.StatusOK, "fine"))},
 	}
 }
 
-// TestFleetHeedsServersThatLeave has several VMs, of which one decides for all: what a server says to one of them holds
-// for the requests of that VM, whoever chooses its servers.
-func TestFleetHeedsServersThatLeave(t *testing.T) {
-	for name, test := range usual() {
+// TestDrainNoticeStopsRequestsInFleet has several VMs with a coordinator. A drain notice that a VM receives must hold for the
+// requests of that VM, whichever VM assigns its servers.
+func TestDrainNoticeStopsRequestsInFleet(t *testing.T) {
+	for name, test := range normal() {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 6, 3, func(fleet *fleet) {
-				leaving := fleet.servers[:2]
-				for _, server := range leaving {
-					server.script = leaves(test.answers)
+			withFleet(t, 6, 3, func(fleet *fleet) {
+				drainingServers := fleet.servers[:2]
+				for _, server := range drainingServers {
+					server.script = draining(test.responses)
 				}
-				fleet.spread(test.caller, 8*time.Millisecond, 2*drainTime)
-				fleet.each(leaving, func(vm *fleetVM, server *fleetServer) {
-					reached := fleet.reachedFrom(vm, server)
-					for _, at := range reached {
-						assert.Assert(fleet.t, at.Sub(reached[0]) <= drainTime, "%d requests, one %s after the first", len(reached), at.Sub(reached[0]))
+				fleet.queryTaggedRoundRobin(test.clientRequest, 8*time.Millisecond, 2*drainTime)
+				fleet.forEachPair(drainingServers, func(vm *fleetVM, server *fleetServer) {
+					arrivals := fleet.arrivalsFrom(vm, server)
+					for _, at := range arrivals {
+						assert.Assert(fleet.t, at.Sub(arrivals[0]) <= drainTime, "%d requests, one %s after the first", len(arrivals), at.Sub(arrivals[0]))
 					}
 				})
 			})
@@ -257,28 +253,28 @@
 	}
 }
 
-// TestFleetLetsServersRest is the same with servers that ask for rest.
-func TestFleetLetsServersRest(t *testing.T) {
-	for name, test := range usual() {
+// TestRetryAfterOfServerIsObservedInFleet is TestDrainNoticeStopsRequestsInFleet for servers that report a Retry-After.
+func TestRetryAfterOfServerIsObservedInFleet(t *testing.T) {
+	for name, test := range normal() {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 5, 2, func(fleet *fleet) {
-				turned := make(map[string][]time.Time)
-				resting := fleet.servers[:2]
-				for _, server := range resting {
-					server.script = eachThird(test.answers, fleet.notingVM(turned, rests()))
+			withFleet(t, 5, 2, func(fleet *fleet) {
+				refusedAt := make(map[string][]time.Time)
+				refusing := fleet.servers[:2]
+				for _, server := range refusing {
+					server.script = everyThird(test.responses, fleet.recordRefusalsByVM(refusedAt, refuseWithRetryAfter()))
 				}
-				fleet.spread(test.caller, 8*time.Millisecond, 3*restTime)
-				assert.Assert(fleet.t, len(turned) > 0)
-				fleet.each(resting, func(vm *fleetVM, server *fleetServer) {
-					assertRests(fleet.t, turned[vm.address()+server.id()], fleet.reachedFrom(vm, server))
+				fleet.queryTaggedRoundRobin(test.clientRequest, 8*time.Millisecond, 3*backoffTime)
+				assert.Assert(fleet.t, len(refusedAt) > 0)
+				fleet.forEachPair(refusing, func(vm *fleetVM, server *fleetServer) {
+					assertBackoff(fleet.t, refusedAt[vm.address()+server.id()], fleet.arrivalsFrom(vm, server))
 				})
 			})
 		})
 	}
 }
 
-// each goes through all pairs of a VM and one of some servers.
-func (fleet *fleet) each(servers []*fleetServer, visit func(vm *fleetVM, server *fleetServer)) {
+// forEachPair calls visit for each pair of a VM and one of the servers.
+func (fleet *fleet) forEachPair(servers []*fleetServer, visit func(vm *fleetVM, server *fleetServer)) {
 	for _, vm := range fleet.vms {
 		for _, server := range servers {
 			visit(vm, server)
@@ -286,42 +282,42 @@
 	}
 }
 
-// notingVM notes which VM's request each server turns away, and when.
-func (fleet *fleet) notingVM(turned map[string][]time.Time, turnsAway backend) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// recordRefusalsByVM is recordRefusals with a list per VM and server, keyed by the VM's address and the server's ID.
+func (fleet *fleet) recordRefusalsByVM(refusedAt map[string][]time.Time, refuse backend) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		key := request.Header.Get(headerVM) + request.Header.Get("Expect-Instance")
 		fleet.mu.Lock()
-		turned[key] = append(turned[key], time.Now())
+		refusedAt[key] = append(refusedAt[key], time.Now())
 		fleet.mu.Unlock()
-		turnsAway(world, nth, writer, request)
+		refuse(harness, nth, writer, request)
 	}
 }
 
-// TestOthersServeWhileSomeServersSpeak has servers that say they leave, or ask for rest, while they could serve, in each
-// third answer: as long as others of the service don't, no caller is refused or fails for it.
-func TestOthersServeWhileSomeServersSpeak(t *testing.T) {
+// TestOtherServersServeDuringNotices has servers that report a drain or a Retry-After in every third response. No request may
+// be refused or fail as long as the service has other servers.
+func TestOtherServersServeDuringNotices(t *testing.T) {
 	for name, test := range map[string]struct {
-		vms, servers, speaking int
-		speaks                 func(usual backend) backend
+		vms, servers, notifying int
+		notify                  func(normal backend) backend
 	}{
-		"one of three leaves, 3 VMs":      {vms: 3, servers: 3, speaking: 1, speaks: leaves},
-		"five of six leave, 6 VMs":        {vms: 6, servers: 6, speaking: 5, speaks: leaves},
-		"one of three asks, 3 VMs":        {vms: 3, servers: 3, speaking: 1, speaks: func(backend) backend { return rests() }},
-		"five of six ask, 6 VMs":          {vms: 6, servers: 6, speaking: 5, speaks: func(backend) backend { return rests() }},
-		"half of six ask, a VM by itself": {vms: 1, servers: 6, speaking: 3, speaks: func(backend) backend { return rests() }},
+		"one of three drains, 3 VMs":    {vms: 3, servers: 3, notifying: 1, notify: draining},
+		"five of six drain, 6 VMs":      {vms: 6, servers: 6, notifying: 5, notify: draining},
+		"one of three backs off, 3 VMs": {vms: 3, servers: 3, notifying: 1, notify: func(backend) backend { return refuseWithRetryAfter() }},
+		"five of six back off, 6 VMs":   {vms: 6, servers: 6, notifying: 5, notify: func(backend) backend { return refuseWithRetryAfter() }},
+		"three of six back off, 1 VM":   {vms: 1, servers: 6, notifying: 3, notify: func(backend) backend { return refuseWithRetryAfter() }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, test.vms, test.servers, func(fleet *fleet) {
-				fine := takes(20*time.Millisecond, answers(http.StatusOK, "fine"))
-				speaking := 0
+			withFleet(t, test.vms, test.servers, func(fleet *fleet) {
+				fine := withLatency(20*time.Millisecond, responses(http.StatusOK, "fine"))
+				notifying := 0
 				for _, server := range fleet.servers {
 					server.script = fine
-					if server.service == "plain" && speaking < test.speaking {
-						speaking++
-						server.script = eachThird(fine, test.speaks(fine))
+					if server.service == "plain" && notifying < test.notifying {
+						notifying++
+						server.script = everyThird(fine, test.notify(fine))
 					}
 				}
-				for _, got := range fleet.askFor(plain(http.MethodGet, "look"), 20*time.Millisecond, 3*restTime) {
+				for _, got := range fleet.queryEvery(plainRequest(http.MethodGet, "look"), 20*time.Millisecond, 3*backoffTime) {
 					assert.Equal(t, got.status, http.StatusOK, got.body)
 				}
 			})
--- a/internal/gateway/place_test.go
+++ b/internal/gateway/place_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// audit returns a change to the configuration that leaves one route, of long prompts
-// with an objective in milliseconds.
-func audit(objective int) func(configuration map[string]any) {
+// auditRoute returns a change to a configuration that replaces its routes by one for long prompts, with an objective in
+// milliseconds.
+func auditRoute(objective int) func(configuration map[string]any) {
 	return func(configuration map[string]any) {
 		configuration["routes"] = []any{map[string]any{
 			"name": "audit", "host": "register.example", "path_prefix": "/audit/", "route_kind": "stream",
@@ -24,144 +24,142 @@
 	}
 }
 
-// TestPromptThatFitsNowhereIsRefusedInTime has a prompt beyond the memory of all
-// engines: it was held for long after it could be in time, in a queue that others had to
-// wait in. One that came back with little time left was held to its end.
-func TestPromptThatFitsNowhereIsRefusedInTime(t *testing.T) {
+// TestPromptBeyondMemoryIsRefusedInTime guards against queueing a prompt that exceeds the memory of all engines. It was queued
+// long after it had missed its objective and blocked the requests behind it; a retried one was queued until its deadline.
+func TestPromptBeyondMemoryIsRefusedInTime(t *testing.T) {
 	for name, test := range map[string]struct {
-		deadline string
-		held     time.Duration
+		deadline   string
+		wantQueued time.Duration
 	}{
-		"a first try is held for its objective":           {deadline: "15000", held: 2500 * time.Millisecond},
-		"one with little time is not held for most of it": {deadline: "2900", held: 1300 * time.Millisecond},
+		"first attempt is queued for its objective":                      {deadline: "15000", wantQueued: 2500 * time.Millisecond},
+		"retry with a short deadline is queued for less than half of it": {deadline: "2900", wantQueued: 1300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, map[string]backend{"a": streams(3, 0), "b": streams(3, 0)}, nil, func(world *world) {
-				world.configure(2, audit(2500))
+			withHarness(t, map[string]backend{"a": streamEvents(3, 0), "b": streamEvents(3, 0)}, nil, func(harness *harness) {
+				harness.configure(2, auditRoute(2500))
 				time.Sleep(2 * time.Second)
-				got := world.ask(stream("audit").with("Token-Counts", "900000,500").with("Deadline-Ms", test.deadline))
+				got := harness.query(streamRequest("audit").with("Token-Counts", "900000,500").with("Deadline-Ms", test.deadline))
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, got.header.Get("Retry-After") != "")
-				assert.Assert(t, got.took >= test.held-50*time.Millisecond && got.took < test.held+100*time.Millisecond, "%s", got.took)
-				assert.Equal(t, len(world.requests()), 0)
+				assert.Assert(t, got.duration >= test.wantQueued-50*time.Millisecond && got.duration < test.wantQueued+100*time.Millisecond, "%s", got.duration)
+				assert.Equal(t, len(harness.requests()), 0)
 			})
 		})
 	}
 }
 
-// TestPromptTooLongToBeInTimeIsReadOnACalmDay: it is given up once it is late only
-// where nobody has room for it.
-func TestPromptTooLongToBeInTimeIsReadOnACalmDay(t *testing.T) {
-	for name, others := range map[string]int{"a VM alone": 0, "one that decides for others": 2} {
+// TestLatePromptIsServedByIdleEngines guards against refusing a prompt that is too long to meet its objective. It may be
+// refused once it is late only if no engine has capacity for it.
+func TestLatePromptIsServedByIdleEngines(t *testing.T) {
+	for name, others := range map[string]int{"single VM": 0, "coordinator of other VMs": 2} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, map[string]backend{"a": streams(3, 0), "b": streams(3, 0)}, nil, func(world *world) {
-				world.addMembers(others)
-				world.restart()
-				world.configure(2, audit(500))
+			withHarness(t, map[string]backend{"a": streamEvents(3, 0), "b": streamEvents(3, 0)}, nil, func(harness *harness) {
+				harness.addMembers(others)
+				harness.restart()
+				harness.configure(2, auditRoute(500))
 				time.Sleep(4 * time.Second)
-				got := world.ask(stream("audit").with("Token-Counts", "210000,500").with("Deadline-Ms", "15000"))
+				got := harness.query(streamRequest("audit").with("Token-Counts", "210000,500").with("Deadline-Ms", "15000"))
 				assert.Equal(t, got.status, http.StatusOK)
-				assert.Assert(t, got.whole)
+				assert.Assert(t, got.complete)
 			})
 		})
 	}
 }
 
-// TestHelperAtFaultIsLeftOut has an engine that names a helper by its address: the
-// address was taken for an ID, nobody was left out, and the next attempt failed alike.
-func TestHelperAtFaultIsLeftOut(t *testing.T) {
+// TestFailedHelperIsExcluded guards against retrying with a helper engine that failed. The engine reports the helper by its
+// address, which was treated as an ID, so no helper was excluded and the next attempt failed in the same way.
+func TestFailedHelperIsExcluded(t *testing.T) {
 	var mu sync.Mutex
-	faulty := ""
-	engine := func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+	failedHelper := ""
+	engine := func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		helpers := strings.Split(request.Header.Get("Helper-Nodes"), ",")
 		mu.Lock()
-		if faulty == "" {
-			faulty = helpers[0]
+		if failedHelper == "" {
+			failedHelper = helpers[0]
 		}
-		broken := faulty
+		failed := failedHelper
 		mu.Unlock()
-		if slices.Contains(helpers, broken) {
-			writer.Header().Set("At-Server", broken)
-			refuses(http.StatusServiceUnavailable)(world, nth, writer, request)
+		if slices.Contains(helpers, failed) {
+			writer.Header().Set("At-Server", failed)
+			refuse(http.StatusServiceUnavailable)(harness, nth, writer, request)
 			return
 		}
-		streams(3, 0)(world, nth, writer, request)
+		streamEvents(3, 0)(harness, nth, writer, request)
 	}
 	engines := map[string]backend{"a": engine, "b": engine, "c": engine, "d": engine, "e": engine}
-	inWorld(t, engines, nil, func(world *world) {
-		world.configure(2, audit(2500))
+	withHarness(t, engines, nil, func(harness *harness) {
+		harness.configure(2, auditRoute(2500))
 		time.Sleep(2 * time.Second)
-		got := world.ask(stream("audit").with("Token-Counts", "150000,500").with("Deadline-Ms", "15000"))
+		got := harness.query(streamRequest("audit").with("Token-Counts", "150000,500").with("Deadline-Ms", "15000"))
 		assert.Equal(t, got.status, http.StatusOK)
-		assert.Equal(t, len(world.requests()), 2)
+		assert.Equal(t, len(harness.requests()), 2)
 		mu.Lock()
 		defer mu.Unlock()
-		assert.Assert(t, faulty != "")
+		assert.Assert(t, failedHelper != "")
 	})
 }
 
-// shortOfMemory is engines of which the first that is asked to set memory aside has none left.
-type shortOfMemory struct {
-	// reply is what it answers.
+// reservingEngines is the script of several engines, of which the first that receives a reservation has no free memory.
+type reservingEngines struct {
+	// reply writes the reply of that engine to a reservation.
 	reply func(writer http.ResponseWriter)
 
 	mu sync.Mutex
-	// full is its ID, and asked how often it was asked.
-	full  string
-	asked int
+	// fullID is its ID; empty before the first reservation. reservations counts those that it received.
+	fullID       string
+	reservations int
 }
 
-// serve is the backend of all of them.
-func (shortofmemory *shortOfMemory) serve(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// serve is the backend of all engines.
+func (reservingengines *reservingEngines) serve(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Expect-Instance")
 	switch {
 	case request.URL.Path != "/order":
-		streams(3, 0)(world, nth, writer, request)
-	case strings.Contains(world.lastBody(id), `"reserve"`) && shortofmemory.refuses(id):
-		shortofmemory.reply(writer)
+		streamEvents(3, 0)(harness, nth, writer, request)
+	case strings.Contains(harness.lastBody(id), `"reserve"`) && reservingengines.isFull(id):
+		reservingengines.reply(writer)
 	default:
 		_, _ = io.WriteString(writer, `{"free": 100000}`)
 	}
 }
 
-// refuses reports whether an engine is the one that has none left, and counts how often.
-func (shortofmemory *shortOfMemory) refuses(id string) bool {
-	shortofmemory.mu.Lock()
-	defer shortofmemory.mu.Unlock()
-	if shortofmemory.full == "" {
-		shortofmemory.full = id
+// isFull reports whether an engine is the one without free memory, and counts its reservations.
+func (reservingengines *reservingEngines) isFull(id string) bool {
+	reservingengines.mu.Lock()
+	defer reservingengines.mu.Unlock()
+	if reservingengines.fullID == "" {
+		reservingengines.fullID = id
 	}
-	if shortofmemory.full != id {
+	if reservingengines.fullID != id {
 		return false
 	}
-	shortofmemory.asked++
+	reservingengines.reservations++
 	return true
 }
 
-// TestEngineWithoutMemoryIsNotAskedAgain has an engine whose memory is in use by what no VM
-// tells of, as it is after VMs were killed: the same plan was made again each 20 ms
-// until the prompt was refused, though others had memory.
-func TestEngineWithoutMemoryIsNotAskedAgain(t *testing.T) {
+// TestEngineWithoutMemoryIsNotRetried has an engine whose memory is held by requests that no VM reports, as it is after VMs
+// were killed. The same plan was repeated every 20 ms until the prompt was refused, although other engines had free memory.
+func TestEngineWithoutMemoryIsNotRetried(t *testing.T) {
 	for name, reply := range map[string]func(writer http.ResponseWriter){
-		"it says what is left": func(writer http.ResponseWriter) {
+		"reports its free memory": func(writer http.ResponseWriter) {
 			writer.WriteHeader(http.StatusConflict)
 			_, _ = io.WriteString(writer, `{"free": 5000}`)
 		},
-		"it takes no orders": func(writer http.ResponseWriter) { writer.WriteHeader(http.StatusBadRequest) },
-		"it breaks off":      func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
+		"rejects orders":        func(writer http.ResponseWriter) { writer.WriteHeader(http.StatusBadRequest) },
+		"closes the connection": func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			engines := &shortOfMemory{reply: reply}
+			engines := &reservingEngines{reply: reply}
 			backends := map[string]backend{"a": engines.serve, "b": engines.serve, "c": engines.serve, "d": engines.serve}
-			inWorld(t, backends, nil, func(world *world) {
-				world.configure(2, audit(4000))
+			withHarness(t, backends, nil, func(harness *harness) {
+				harness.configure(2, auditRoute(4000))
 				time.Sleep(2 * time.Second)
-				got := world.ask(stream("audit").with("Token-Counts", "300000,500").with("Deadline-Ms", "15000"))
+				got := harness.query(streamRequest("audit").with("Token-Counts", "300000,500").with("Deadline-Ms", "15000"))
 				assert.Equal(t, got.status, http.StatusOK)
-				assert.Assert(t, got.whole)
+				assert.Assert(t, got.complete)
 				engines.mu.Lock()
 				defer engines.mu.Unlock()
-				assert.Equal(t, engines.asked, 1)
+				assert.Equal(t, engines.reservations, 1)
 			})
 		})
 	}
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -11,13 +11,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// regionsOf has the region of each data centre of a fleet.
-func regionsOf() map[string]string {
+// fleetRegions returns the region of each data centre of a fleet, by the data centre's name.
+func fleetRegions() map[string]string {
 	return map[string]string{"centre-0": "east", "centre-1": "east", "centre-2": "west"}
 }
 
-// keepIn names the regions to which the operator keeps requests of a route, or of an organisation.
-func keepIn(configuration map[string]any, list, name string, regions ...string) {
+// restrictRegions sets the allowed regions of the route or organisation with a name. list is the key of the list that has it.
+func restrictRegions(configuration map[string]any, list, name string, regions ...string) {
 	for _, item := range configuration[list].([]any) {
 		if fields := item.(map[string]any); fields["name"] == name {
 			fields["allowed_regions"] = regions
@@ -25,63 +25,63 @@
 	}
 }
 
-// TestRequestsStayInTheirRegions has routes and an organisation whose requests the operator keeps to regions: no server of
-// another one gets a request of theirs, whichever VM took it, also where a server fails, and all are served while the
-// region has servers. Where it has none that may get them they are refused at once, as not run.
-func TestRequestsStayInTheirRegions(t *testing.T) {
+// TestRequestsStayInAllowedRegions has routes and an organisation that are restricted to regions. No server of another region
+// may receive their requests, whichever VM accepts them and also when a server fails, and all requests must be served while
+// an allowed region has servers. Where none has, they must be refused at once as not run.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	const dataCentres = 3
 	for name, test := range map[string]struct {
 		configure func(configuration map[string]any)
 		act       func(fleet *fleet)
-		// allowed are the data centres whose servers may get requests.
+		// allowed are the data centres whose servers may receive requests.
 		allowed []string
 		refused bool
 	}{
 		"route": {
 			configure: func(configuration map[string]any) {
-				keepIn(configuration, "routes", "chat", "west")
-				keepIn(configuration, "routes", "look", "west")
+				restrictRegions(configuration, "routes", "chat", "west")
+				restrictRegions(configuration, "routes", "look", "west")
 			},
 			allowed: []string{"centre-2"},
 		},
 		"organisation": {
-			configure: func(configuration map[string]any) { keepIn(configuration, "tenants", "register", "west") },
+			configure: func(configuration map[string]any) { restrictRegions(configuration, "tenants", "register", "west") },
 			allowed:   []string{"centre-2"},
 		},
 		"route and organisation": {
 			configure: func(configuration map[string]any) {
-				keepIn(configuration, "tenants", "register", "east")
-				keepIn(configuration, "routes", "chat", "west", "east")
-				keepIn(configuration, "routes", "look", "east", "west")
+				restrictRegions(configuration, "tenants", "register", "east")
+				restrictRegions(configuration, "routes", "chat", "west", "east")
+				restrictRegions(configuration, "routes", "look", "east", "west")
 			},
 			allowed: []string{"centre-0", "centre-1"},
 		},
-		"route and organisation that have none in common": {
+		"route and organisation without a common region": {
 			configure: func(configuration map[string]any) {
-				keepIn(configuration, "tenants", "register", "east")
-				keepIn(configuration, "routes", "chat", "west")
-				keepIn(configuration, "routes", "look", "west")
+				restrictRegions(configuration, "tenants", "register", "east")
+				restrictRegions(configuration, "routes", "chat", "west")
+				restrictRegions(configuration, "routes", "look", "west")
 			},
 			refused: true,
 		},
-		"region that has no data centre": {
-			configure: func(configuration map[string]any) { keepIn(configuration, "tenants", "register", "south") },
+		"region without data centres": {
+			configure: func(configuration map[string]any) { restrictRegions(configuration, "tenants", "register", "south") },
 			refused:   true,
 		},
-		"no region is named": {
-			configure: func(configuration map[string]any) { keepIn(configuration, "tenants", "register") },
+		"empty list of regions": {
+			configure: func(configuration map[string]any) { restrictRegions(configuration, "tenants", "register") },
 			allowed:   []string{"centre-0", "centre-1", "centre-2"},
 		},
-		"its only data centre is evacuated": {
-			configure: func(configuration map[string]any) { keepIn(configuration, "tenants", "register", "west") },
+		"only data centre of the region evacuated": {
+			configure: func(configuration map[string]any) { restrictRegions(configuration, "tenants", "register", "west") },
 			act:       func(fleet *fleet) { fleet.evacuate("centre-2", true) },
 			refused:   true,
 		},
-		"a server there fails": {
-			configure: func(configuration map[string]any) { keepIn(configuration, "tenants", "register", "west") },
+		"server in the region fails": {
+			configure: func(configuration map[string]any) { restrictRegions(configuration, "tenants", "register", "west") },
 			act: func(fleet *fleet) {
-				for _, server := range fleet.servers[4:6] { // one of each service there
-					server.script = refuses(http.StatusServiceUnavailable)
+				for _, server := range fleet.servers[4:6] { // one of each service in the region
+					server.script = refuse(http.StatusServiceUnavailable)
 				}
 			},
 			allowed: []string{"centre-2"},
@@ -89,23 +89,23 @@
 	} {
 		for _, vms := range []int{1, 6} {
 			t.Run(fmt.Sprint(name, ", ", vms, " VMs"), func(t *testing.T) {
-				inFleetBound(t, vms, 6, evacuationBound, func(fleet *fleet) {
-					fleet.inDataCentres(dataCentres)
+				withFleetApplyBound(t, vms, 6, evacuationBound, func(fleet *fleet) {
+					fleet.distributeServers(dataCentres)
 					if test.act != nil {
 						test.act(fleet)
 					}
 					fleet.configure(2, test.configure)
 					time.Sleep(evacuationBound)
-					known := time.Now()
-					answers := slices.Concat(
-						fleet.repeat(plain(http.MethodGet, "look"), 10*time.Millisecond, time.Second),
-						fleet.repeat(stream("chat"), 20*time.Millisecond, time.Second),
-						fleet.repeat(stream("chat").with("Token-Counts", "60000,80"), 500*time.Millisecond, time.Second))
-					fleet.assertKept(test.allowed, dataCentres, known)
+					appliedAt := time.Now()
+					responses := slices.Concat(
+						fleet.queryRetrying(plainRequest(http.MethodGet, "look"), 10*time.Millisecond, time.Second),
+						fleet.queryRetrying(streamRequest("chat"), 20*time.Millisecond, time.Second),
+						fleet.queryRetrying(streamRequest("chat").with("Token-Counts", "60000,80"), 500*time.Millisecond, time.Second))
+					fleet.assertOnlySentTo(test.allowed, dataCentres, appliedAt)
 					if test.refused {
-						assertRefused(t, answers)
+						assertRefused(t, responses)
 					} else {
-						assertServed(t, answers)
+						assertServed(t, responses)
 					}
 				})
 			})
@@ -113,34 +113,34 @@
 	}
 }
 
-// assertKept checks that no server of another data centre than those allowed got a request from a moment on.
-func (fleet *fleet) assertKept(allowed []string, dataCentres int, from time.Time) {
-	for number := range dataCentres {
-		dataCentre := fmt.Sprintf("centre-%d", number)
+// assertOnlySentTo checks that no server outside the allowed data centres received a request at or after a time.
+func (fleet *fleet) assertOnlySentTo(allowed []string, dataCentres int, from time.Time) {
+	for index := range dataCentres {
+		dataCentre := fmt.Sprintf("centre-%d", index)
 		if !slices.Contains(allowed, dataCentre) {
 			assert.Check(fleet.t, fleet.sentTo(dataCentre, dataCentres, from) == 0, dataCentre)
 		}
 	}
 }
 
-// assertRefused checks that all were refused at once, and were told why.
-func assertRefused(t *testing.T, answers []answer) {
+// assertRefused checks that all requests were refused at once, with the reason in the body.
+func assertRefused(t *testing.T, responses []clientResponse) {
 	t.Helper()
-	for _, answer := range answers {
-		assert.Equal(t, answer.status, http.StatusServiceUnavailable)
-		assert.Assert(t, answer.took < 100*time.Millisecond, "refused after %s", answer.took)
-		assert.Assert(t, strings.Contains(answer.body, "region") || strings.Contains(answer.body, "evacuated"), answer.body)
+	for _, clientResponse := range responses {
+		assert.Equal(t, clientResponse.status, http.StatusServiceUnavailable)
+		assert.Assert(t, clientResponse.duration < 100*time.Millisecond, "refused after %s", clientResponse.duration)
+		assert.Assert(t, strings.Contains(clientResponse.body, "region") || strings.Contains(clientResponse.body, "evacuated"), clientResponse.body)
 	}
 }
 
-// assertServed checks that nearly all were served.
-func assertServed(t *testing.T, answers []answer) {
+// assertServed checks that at least 98 % of the requests were served.
+func assertServed(t *testing.T, responses []clientResponse) {
 	t.Helper()
 	served := 0
-	for _, answer := range answers {
-		if answer.status == http.StatusOK && answer.whole {
+	for _, clientResponse := range responses {
+		if clientResponse.status == http.StatusOK && clientResponse.complete {
 			served++
 		}
 	}
-	assert.Check(t, float64(served) >= 0.98*float64(len(answers)), "%d of %d served", served, len(answers))
+	assert.Check(t, float64(served) >= 0.98*float64(len(responses)), "%d of %d served", served, len(responses))
 }
--- a/internal/gateway/retries_test.go
+++ b/internal/gateway/retries_test.go
@@ -11,25 +11,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bounds on retries over all VMs, as the platform has them.
+// Bounds on the retries of all VMs together, as the platform defines them.
 const (
 	retryWindow = 10 * time.Second
 	retryRatio  = 0.2
 )
 
-// failsOneOf answers one of so many requests with a failure.
-func failsOneOf(count int) backend {
-	return func(world *world, nth int, writer http.ResponseWriter, request *http.Request) {
+// failOneOf returns a backend that fails one of every count requests.
+func failOneOf(count int) backend {
+	return func(harness *harness, nth int, writer http.ResponseWriter, request *http.Request) {
 		status := http.StatusOK
 		if nth%count == count-1 {
 			status = http.StatusInternalServerError
 		}
-		answers(status, "an answer")(world, nth, writer, request)
+		responses(status, "an answer")(harness, nth, writer, request)
 	}
 }
 
-// again returns when servers of a service got requests that others had before, in order.
-func (fleet *fleet) again(service string) []time.Time {
+// retryTimes returns the arrival times, in order, of requests that a server of the service had received before.
+func (fleet *fleet) retryTimes(service string) []time.Time {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	arrivals := make(map[string][]time.Time)
@@ -37,63 +37,63 @@
 		if server.service != service {
 			continue
 		}
-		for _, seen := range fleet.seen[server.id()] {
-			id := seen.Header.Get("Request-Id")
-			arrivals[id] = append(arrivals[id], seen.At)
+		for _, received := range fleet.received[server.id()] {
+			id := received.Header.Get("Request-Id")
+			arrivals[id] = append(arrivals[id], received.At)
 		}
 	}
-	var again []time.Time
+	var retryTimes []time.Time
 	for _, times := range arrivals {
 		slices.SortFunc(times, time.Time.Compare)
-		again = append(again, times[1:]...)
+		retryTimes = append(retryTimes, times[1:]...)
 	}
-	slices.SortFunc(again, time.Time.Compare)
-	return again
+	slices.SortFunc(retryTimes, time.Time.Compare)
+	return retryTimes
 }
 
-// TestManyVMsShareRetries has more VMs than there are retries beside those that requests earn: each had a part of one, and
-// none was ever made. All together stay within what there is, also while servers fail half of all requests and while the
-// VM that grants retries is stopped.
-func TestManyVMsShareRetries(t *testing.T) {
-	const slack = 10.0
+// TestManyVMsShareRetryBudget has more VMs than the retry slack has retries. With the slack divided among the VMs, each had less
+// than one retry and none was ever made. All VMs together must stay within the budget, also while servers fail half of all
+// requests and while the coordinator, which grants retries, is stopped.
+func TestManyVMsShareRetryBudget(t *testing.T) {
+	const retrySlack = 10.0
 	for name, test := range map[string]struct {
 		oneOf int
-		// served is the least part of the requests that are served, of those that come while nothing else is amiss.
-		served float64
-		stops  bool
+		// served is the smallest permitted fraction of requests that are served; zero permits any.
+		served           float64
+		coordinatorStops bool
 	}{
-		"one of ten fails":                 {oneOf: 10, served: 0.98},
-		"half fail":                        {oneOf: 2},
-		"who grants them stops":            {oneOf: 10, stops: true},
-		"who grants them stops, half fail": {oneOf: 2, stops: true},
+		"one of ten requests fails":                    {oneOf: 10, served: 0.98},
+		"half of the requests fail":                    {oneOf: 2},
+		"coordinator stops":                            {oneOf: 10, coordinatorStops: true},
+		"coordinator stops, half of the requests fail": {oneOf: 2, coordinatorStops: true},
 	} {
 		for _, vms := range []int{18, 36} {
 			t.Run(name+", "+strconv.Itoa(vms)+" VMs", func(t *testing.T) {
-				inFleetSlack(t, vms, 3, slack, func(fleet *fleet) {
+				withFleetRetrySlack(t, vms, 3, retrySlack, func(fleet *fleet) {
 					for _, server := range fleet.servers {
-						server.script = failsOneOf(test.oneOf)
+						server.script = failOneOf(test.oneOf)
 					}
-					if test.stops {
-						time.AfterFunc(6*time.Second, func() { fleet.stopDecider() })
+					if test.coordinatorStops {
+						time.AfterFunc(6*time.Second, func() { fleet.stopCoordinator() })
 					}
-					const pause, long = 20 * time.Millisecond, 14 * time.Second
-					answers := fleet.askAll(plain(http.MethodGet, "look"), pause, long)
-					served := countServed(answers)
-					assert.Assert(t, float64(served) >= test.served*float64(len(answers)), "%d of %d", served, len(answers))
-					again := fleet.again("plain")
-					allowed := int(retryRatio*float64(retryWindow/pause) + slack)
-					got := busiestWithin(again, retryWindow)
+					const interval, duration = 20 * time.Millisecond, 14 * time.Second
+					responses := fleet.queryRoundRobin(plainRequest(http.MethodGet, "look"), interval, duration)
+					served := countServed(responses)
+					assert.Assert(t, float64(served) >= test.served*float64(len(responses)), "%d of %d", served, len(responses))
+					retryTimes := fleet.retryTimes("plain")
+					allowed := int(retryRatio*float64(retryWindow/interval) + retrySlack)
+					got := maxWithin(retryTimes, retryWindow)
 					assert.Assert(t, got <= allowed, "%d retries in %s, allowed %d", got, retryWindow, allowed)
-					assert.Assert(t, len(again) > 10, "%d retries", len(again))
+					assert.Assert(t, len(retryTimes) > 10, "%d retries", len(retryTimes))
 				})
 			})
 		}
 	}
 }
 
-func countServed(answers []answer) int {
+func countServed(responses []clientResponse) int {
 	served := 0
-	for _, got := range answers {
+	for _, got := range responses {
 		if got.status == http.StatusOK {
 			served++
 		}
@@ -101,35 +101,36 @@
 	return served
 }
 
-// busiestWithin returns the most of some moments, which are in order, within a time.
-func busiestWithin(moments []time.Time, within time.Duration) int {
-	most, oldest := 0, 0
-	for last, moment := range moments {
-		for moment.Sub(moments[oldest]) >= within {
+// maxWithin returns the largest number of times, which must be in order, in any period of a length.
+func maxWithin(times []time.Time, period time.Duration) int {
+	maxCount, oldest := 0, 0
+	for last, newest := range times {
+		for newest.Sub(times[oldest]) >= period {
 			oldest++
 		}
-		most = max(most, last-oldest+1)
+		maxCount = max(maxCount, last-oldest+1)
 	}
-	return most
+	return maxCount
 }
 
-// askAll lets callers ask VMs in turn, one each pause for so long, and returns what they got.
-func (fleet *fleet) askAll(caller caller, pause, long time.Duration) []answer {
-	answers := make([]answer, int(long/pause))
-	var asking sync.WaitGroup
-	for number := range answers {
-		again := caller
-		again.vm = fleet.vms[number%len(fleet.vms)].address()
-		asking.Go(func() { answers[number] = fleet.ask(again) })
-		time.Sleep(pause)
+// queryRoundRobin sends copies of a request to the VMs in turn, one per interval for a duration, and returns the responses in
+// order of the requests.
+func (fleet *fleet) queryRoundRobin(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
+	responses := make([]clientResponse, int(duration/interval))
+	var clients sync.WaitGroup
+	for index := range responses {
+		attempt := clientRequest
+		attempt.vm = fleet.vms[index%len(fleet.vms)].address()
+		clients.Go(func() { responses[index] = fleet.query(attempt) })
+		time.Sleep(interval)
 	}
-	asking.Wait()
-	return answers
+	clients.Wait()
+	return responses
 }
 
-// stopDecider stops the VM that decides for all.
-func (fleet *fleet) stopDecider() {
-	first := fleet.vms[0].served.Status().Coordinators[0]
+// stopCoordinator stops the VM that is the first coordinator in the status of the first VM.
+func (fleet *fleet) stopCoordinator() {
+	first := fleet.vms[0].instance.Status().Coordinators[0]
 	for _, vm := range fleet.vms {
 		if vm.name() == first {
 			vm.stop()
@@ -137,30 +138,30 @@
 	}
 }
 
-// TestUnreachableServersCostNoRetries has servers to which no connection can be made. What was meant for them has arrived
-// nowhere, so to send it elsewhere is its first send and takes no retry, of which there are none: all are served.
+// TestUnreachableServersCostNoRetries has servers that accept no connections. A request that could not be sent has reached no
+// server, so sending it to another one must not use the retry budget, which is empty here: all requests must be served.
 func TestUnreachableServersCostNoRetries(t *testing.T) {
-	for name, vms := range map[string]int{"retries of its own": 1, "retries granted by the VM that decides": 6} {
+	for name, vms := range map[string]int{"local budget": 1, "budget granted by the coordinator": 6} {
 		t.Run(name, func(t *testing.T) {
-			inFleetSlack(t, vms, 6, 1, func(fleet *fleet) {
+			withFleetRetrySlack(t, vms, 6, 1, func(fleet *fleet) {
 				for _, server := range fleet.servers[:4] {
 					fleet.network.SetDark(server.address, true)
 				}
-				before := len(fleet.again("engines")) + len(fleet.again("plain"))
-				var asking sync.WaitGroup
-				for number := range 60 {
-					caller := plain(http.MethodGet, "open")
-					if number%2 == 0 {
-						caller = stream("chat")
+				before := len(fleet.retryTimes("engines")) + len(fleet.retryTimes("plain"))
+				var clients sync.WaitGroup
+				for index := range 60 {
+					clientRequest := plainRequest(http.MethodGet, "open")
+					if index%2 == 0 {
+						clientRequest = streamRequest("chat")
 					}
-					caller.vm = fleet.vms[number%len(fleet.vms)].address()
-					asking.Go(func() {
-						got := fleet.ask(caller)
-						assert.Check(t, got.status == http.StatusOK && got.whole, "%d %s", got.status, got.body)
+					clientRequest.vm = fleet.vms[index%len(fleet.vms)].address()
+					clients.Go(func() {
+						got := fleet.query(clientRequest)
+						assert.Check(t, got.status == http.StatusOK && got.complete, "%d %s", got.status, got.body)
 					})
 				}
-				asking.Wait()
-				assert.Equal(t, len(fleet.again("engines"))+len(fleet.again("plain")), before)
+				clients.Wait()
+				assert.Equal(t, len(fleet.retryTimes("engines"))+len(fleet.retryTimes("plain")), before)
 			})
 		})
 	}
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -10,59 +10,60 @@
 	"github.com/mastwinch/mastwinch/internal/gateway"
 )
 
-// TestVMThatWakesUpKnowsThatItsKeysAreOld has a VM suspended while the store is away, so that no proof comes after:
-// a key may have been taken away meanwhile. It went on to serve with a proof that looked young.
-func TestVMThatWakesUpKnowsThatItsKeysAreOld(t *testing.T) {
+// TestResumedVMRefusesStaleKeys guards against accepting keys after a suspension of the VM. A key may have been revoked
+// meanwhile, and the store is unreachable, so the keys can't be confirmed. The VM used the last confirmation, whose age did
+// not include the suspension.
+func TestResumedVMRefusesStaleKeys(t *testing.T) {
 	for name, test := range map[string]struct {
-		asleep time.Duration
-		want   int
+		suspendedFor time.Duration
+		want         int
 	}{
-		"a second":      {asleep: time.Second, want: http.StatusOK},
-		"five seconds":  {asleep: 5 * time.Second, want: http.StatusServiceUnavailable},
-		"a long minute": {asleep: time.Minute, want: http.StatusServiceUnavailable},
+		"1 s":   {suspendedFor: time.Second, want: http.StatusOK},
+		"5 s":   {suspendedFor: 5 * time.Second, want: http.StatusServiceUnavailable},
+		"1 min": {suspendedFor: time.Minute, want: http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, nil, map[string]backend{"one": answers(http.StatusOK, "run")}, func(world *world) {
+			withHarness(t, nil, map[string]backend{"one": responses(http.StatusOK, "run")}, func(harness *harness) {
 				time.Sleep(time.Second)
-				world.store.SetFault(metastoreSilent)
-				world.suspend(test.asleep)
-				got := world.ask(plain(http.MethodGet, "look"))
+				harness.store.SetFault(metastoreSilent)
+				harness.suspend(test.suspendedFor)
+				got := harness.query(plainRequest(http.MethodGet, "look"))
 				assert.Equal(t, got.status, test.want, got.body)
-				assert.Equal(t, world.ready(), test.want == http.StatusOK)
+				assert.Equal(t, harness.ready(), test.want == http.StatusOK)
 			})
 		})
 	}
 }
 
-// TestCallersOfAVMThatWakesUp has a request under way whose server says nothing. Its caller has ten seconds, of
-// which those asleep count: it got its answer as long after the wake-up as if there had been no sleep.
-func TestCallersOfAVMThatWakesUp(t *testing.T) {
+// TestSuspensionCountsTowardsTimeout has a request in flight whose server sends nothing. The time of a suspension of the VM
+// must count towards the timeout of the request; it timed out as late after the suspension as if there had been none.
+func TestSuspensionCountsTowardsTimeout(t *testing.T) {
 	for name, test := range map[string]struct {
-		asleep, want time.Duration
+		suspendedFor, want time.Duration
 	}{
-		"not at all":    {want: 1980 * time.Millisecond},
-		"a second":      {asleep: time.Second, want: 980 * time.Millisecond},
-		"five seconds":  {asleep: 5 * time.Second, want: 500 * time.Millisecond},
-		"a long minute": {asleep: time.Minute, want: 500 * time.Millisecond},
+		"no suspension": {want: 1980 * time.Millisecond},
+		"1 s":           {suspendedFor: time.Second, want: 980 * time.Millisecond},
+		"5 s":           {suspendedFor: 5 * time.Second, want: 500 * time.Millisecond},
+		"1 min":         {suspendedFor: time.Minute, want: 500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, nil, map[string]backend{"one": hangs()}, func(world *world) {
-				timer := time.AfterFunc(450*time.Millisecond, func() { world.suspend(test.asleep) })
+			withHarness(t, nil, map[string]backend{"one": hang()}, func(harness *harness) {
+				timer := time.AfterFunc(450*time.Millisecond, func() { harness.suspend(test.suspendedFor) })
 				defer timer.Stop()
-				got := world.ask(plain(http.MethodPost, "pay"))
+				got := harness.query(plainRequest(http.MethodPost, "pay"))
 				assert.Equal(t, got.status, http.StatusGatewayTimeout)
-				assert.Assert(t, (got.took-test.want).Abs() <= 60*time.Millisecond, "%s", got.took)
+				assert.Assert(t, (got.duration-test.want).Abs() <= 60*time.Millisecond, "%s", got.duration)
 			})
 		})
 	}
 }
 
-// TestProofIsRenewedAfterAWakeUp has the store there: who asks soon after the wake-up is served.
-func TestProofIsRenewedAfterAWakeUp(t *testing.T) {
-	inWorld(t, nil, map[string]backend{"one": answers(http.StatusOK, "run")}, func(world *world) {
+// TestKeysAreConfirmedAfterSuspension has a store that is reachable: requests soon after a suspension must be served.
+func TestKeysAreConfirmedAfterSuspension(t *testing.T) {
+	withHarness(t, nil, map[string]backend{"one": responses(http.StatusOK, "run")}, func(harness *harness) {
 		time.Sleep(time.Second)
-		world.suspend(time.Minute)
+		harness.suspend(time.Minute)
 		time.Sleep(gateway.DefaultSettings().Configuration.Patience)
-		assert.Equal(t, world.ask(plain(http.MethodGet, "look")).status, http.StatusOK)
+		assert.Equal(t, harness.query(plainRequest(http.MethodGet, "look")).status, http.StatusOK)
 	})
 }
