--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,108 +18,112 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// errSilent ends an attempt whose server says nothing for too long.
-var errSilent = errors.New("server is silent")
+// errSilent is the cancellation cause of an attempt whose server sends nothing for too long.
+var errSilent = errors.New("server sent nothing within the timeout")
 
-// plainAnswer is a whole answer of a server.
+// plainAnswer is a response of a server that was read whole.
 type plainAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt sends the request to the servers of a plan, which use has taken.
-func (run *run) attempt(ctx context.Context, plan placement.Plan, use *pool.Use) result {
-	gateway := run.gateway
+// attempt sends the request to the servers of a plan. It always releases use, which holds the
+// capacity claimed for the plan.
+func (forwarder *run) attempt(ctx context.Context, plan placement.Plan, use *pool.Use) result {
+	gateway := forwarder.gateway
 	defer use.Over()
-	held, err := run.reserve(ctx, plan)
+	reserved, err := forwarder.reserve(ctx, plan)
 	if err != nil {
 		return result{kind: resultNoMemory, err: err}
 	}
-	if held != nil {
-		defer held.Release()
-		if err := run.stillTaken(plan); err != nil {
+	if reserved != nil {
+		defer reserved.Release()
+		if err := forwarder.stillTaken(plan); err != nil {
 			return result{kind: resultMoved, err: err}
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := run.patience(plan)
+	responseTimeout := forwarder.patience(plan)
 	var watchdog *time.Timer
-	if patience > 0 {
-		watchdog = time.AfterFunc(patience, func() { cancel(errSilent) })
+	if responseTimeout > 0 {
+		watchdog = time.AfterFunc(responseTimeout, func() { cancel(errSilent) })
 		defer watchdog.Stop()
 	}
-	dispatch := run.dispatch(plan, held)
+	dispatch := forwarder.dispatch(plan, reserved)
 	request := upstream.Request{
 		Server: plan.Server.ID,
-		Method: run.incoming.Method,
-		Target: run.incoming.RequestURI,
-		Host:   run.incoming.Host,
-		Header: gateway.codec.ServerHeader(run.incoming.Header, dispatch),
-		Body:   run.body,
+		Method: forwarder.incoming.Method,
+		Target: forwarder.incoming.RequestURI,
+		Host:   forwarder.incoming.Host,
+		Header: gateway.codec.ServerHeader(forwarder.incoming.Header, dispatch),
+		Body:   forwarder.body,
 	}
 	response, err := gateway.upstream.Send(ctx, plan.Server.Address, request, func(header http.Header) bool {
-		return gateway.codec.Answer(http.StatusOK, header).ID == run.head.ID
+		return gateway.codec.Answer(http.StatusOK, header).ID == forwarder.head.ID
 	})
 	if err != nil {
 		return sendFailed(ctx, err)
 	}
 	answer := gateway.codec.Answer(response.Status, response.Header)
 	defer func() { response.Close(answer.Idle) }()
-	attempted := &attempted{plan: plan, use: use, response: response, watchdog: watchdog, patience: patience}
+	activeAttempt := &attempted{plan: plan, use: use, response: response, watchdog: watchdog, patience: responseTimeout}
 	if answer.Stream && answer.Whole && !answer.Encoded && response.Status/100 == 2 {
-		return run.relay(ctx, attempted)
+		return forwarder.relay(ctx, activeAttempt)
 	}
-	return run.receive(ctx, attempted, answer)
+	return forwarder.receive(ctx, activeAttempt, answer)
 }
 
-// reserve sets memory aside at the servers of a plan that needs it.
-func (run *run) reserve(ctx context.Context, plan placement.Plan) (*reservation.Held, error) {
+// reserve reserves memory at the servers of a plan. It returns nil without an error if the
+// plan needs none.
+func (forwarder *run) reserve(ctx context.Context, plan placement.Plan) (*reservation.Held, error) {
 	if len(plan.Shares) == 0 {
-		return nil, nil //nolint:nilnil // nothing is to be set aside
+		return nil, nil //nolint:nilnil // nil means that the plan needs no reservation
 	}
 	servers := append([]placement.Server{plan.Server}, plan.Helpers...)
-	wants := make([]reservation.Want, 0, len(servers))
+	requests := make([]reservation.Want, 0, len(servers))
 	for i, server := range servers {
 		if plan.Shares[i] == 0 {
 			continue
 		}
-		wants = append(wants, reservation.Want{Instance: server.ID, Address: server.Address, Tokens: plan.Shares[i]})
+		requests = append(requests, reservation.Want{Instance: server.ID, Address: server.Address, Tokens: plan.Shares[i]})
 	}
-	ticket := fmt.Sprintf("%s-%016x-%d", run.gateway.site.VM, run.seed, run.looks)
-	held, err := run.gateway.reservations.Gather(ctx, ticket, wants)
-	run.noteNotFree(err)
-	return held, errors.Wrap(err, "reserve")
+	ticket := fmt.Sprintf("%s-%016x-%d", forwarder.gateway.site.VM, forwarder.seed, forwarder.looks)
+	reserved, err := forwarder.gateway.reservations.Gather(ctx, ticket, requests)
+	forwarder.noteNotFree(err)
+	return reserved, errors.Wrap(err, "reserve engine memory")
 }
 
-// stillTaken returns an error if a server of a plan takes nothing more from this VM, as it may have said while memory
-// was set aside, which takes up to an order's time.
-func (run *run) stillTaken(plan placement.Plan) error {
-	if _, missing := run.gateway.pool.Find(run.service.Name, run.keptTo, plan.IDs()); len(missing) > 0 {
-		return errors.Newf("%v take nothing more", missing)
+// stillTaken returns an error if a server of the plan no longer accepts requests from
+// this VM. That may have changed while memory was being reserved, which can take as long as a whole
+// reservation call.
+func (forwarder *run) stillTaken(plan placement.Plan) error {
+	if _, missing := forwarder.gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, plan.IDs()); len(missing) > 0 {
+		return errors.Newf("servers %v no longer accept requests", missing)
 	}
 	return nil
 }
 
-// noteNotFree tells the pool which engines have less memory than was believed. One that gave
-// another answer, or none, is not asked again for this request. Otherwise the same plan
-// would be made again at each look, until the request is refused.
-func (run *run) noteNotFree(err error) {
+// noteNotFree reports to the pool which engines have less free memory than estimated.
+// A server that failed in any other way is not tried again for this request; otherwise every
+// evaluation would produce the same plan until the request is refused.
+func (forwarder *run) noteNotFree(err error) {
 	var failed *reservation.GatherError
 	if !errors.As(err, &failed) {
 		return
 	}
 	for _, failure := range failed.Failures {
 		if failure.Err == nil && failure.Reply.Kind == reservation.ReplyNotFree {
-			run.gateway.pool.NotFree(run.service, failure.Instance, failure.Tokens, failure.Reply.Free)
+			forwarder.gateway.pool.NotFree(forwarder.service, failure.Instance, failure.Tokens, failure.Reply.Free)
 			continue
 		}
-		run.tried = append(run.tried, failure.Instance)
+		forwarder.tried = append(forwarder.tried, failure.Instance)
 	}
 }
 
-// sendFailed tells whether a request that could not be sent may have run.
+// sendFailed returns the result of a request that could not be sent or got no response:
+// whether it may have been executed depends on how far the sending came.
 func sendFailed(ctx context.Context, err error) result {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
@@ -128,107 +132,110 @@
 	return result{kind: resultUncertain, lost: ctx.Err() == nil, err: err}
 }
 
-// patience is how long the server may be silent, or zero for until the
-// deadline.
-func (run *run) patience(plan placement.Plan) time.Duration {
-	settings := run.gateway.settings.Request
-	if !run.route.Repeatable() || run.runs+1 >= run.route.MaxAttempts {
+// patience returns how long the server may take to respond. Zero means until the deadline,
+// which applies when no further attempt is possible.
+func (forwarder *run) patience(plan placement.Plan) time.Duration {
+	settings := forwarder.gateway.settings.Request
+	if !forwarder.route.Repeatable() || forwarder.runs+1 >= forwarder.route.MaxAttempts {
 		return 0
 	}
-	expected := max(plan.Predicted, run.route.Objective)
+	expected := max(plan.Predicted, forwarder.route.Objective)
 	return settings.Silence + time.Duration(settings.SilencePart*float64(expected))
 }
 
-// receive reads a plain answer whole, and passes it on when it is the last
-// word.
-func (run *run) receive(ctx context.Context, attempted *attempted, answer call.Answer) result {
-	response := attempted.response
-	body, release, err := run.gateway.answers.read(ctx, attempted, run.gateway.settings.Request.MaxAnswerBytes)
+// receive reads a plain response whole. It forwards the response unless it is a failure
+// after which another server may be tried.
+func (forwarder *run) receive(ctx context.Context, activeAttempt *attempted, answer call.Answer) result {
+	response := activeAttempt.response
+	body, release, err := forwarder.gateway.answers.read(ctx, activeAttempt, forwarder.gateway.settings.Request.MaxAnswerBytes)
 	defer release()
 	switch {
 	case err != nil:
 		return result{
-			kind: resultUncertain, status: response.Status, lost: ctx.Err() == nil, err: errors.Wrap(err, "body"),
+			kind: resultUncertain, status: response.Status, lost: ctx.Err() == nil, err: errors.Wrap(err, "read the response body"),
 		}
-	case int64(len(body)) > run.gateway.settings.Request.MaxAnswerBytes:
-		return result{kind: resultUncertain, status: response.Status, err: errors.New("body is too long")}
+	case int64(len(body)) > forwarder.gateway.settings.Request.MaxAnswerBytes:
+		return result{kind: resultUncertain, status: response.Status, err: errors.New("response body is too long")}
 	case answer.NotRun:
 		return result{
 			kind: resultNotRun, status: response.Status, closed: answer.Misdirected && answer.AtServer == "",
-			atFault: answer.AtServer, err: errors.Newf("status %d, not run", response.Status),
+			atFault: answer.AtServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
 		}
 	}
 	if promisesNotRun(response.Status) {
 		return result{
-			kind: resultUncertain, status: response.Status, err: errors.Newf("status %d, but not said not to have run", response.Status),
+			kind: resultUncertain, status: response.Status, err: errors.Newf("status %d without the header that states that the request was not executed", response.Status),
 		}
 	}
-	whole := &plainAnswer{status: response.Status, header: response.Header, body: body}
+	buffered := &plainAnswer{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError {
 		if !answer.Whole {
-			whole = nil
+			buffered = nil
 		}
 		return result{
-			kind: resultUncertain, status: response.Status, answer: whole,
+			kind: resultUncertain, status: response.Status, answer: buffered,
 			err: errors.Newf("status %d", response.Status),
 		}
 	}
 	if response.Status/100 == 2 && (!answer.Whole || answer.Encoded) {
-		return result{kind: resultUncertain, status: response.Status, err: errors.New("answer without a mark of origin")}
+		return result{kind: resultUncertain, status: response.Status, err: errors.New("response does not carry the mark that proves it came from the server")}
 	}
-	run.writePlain(whole)
+	forwarder.writePlain(buffered)
 	return result{kind: resultAnswered, status: response.Status}
 }
 
-// writePlain passes a whole answer on.
-func (run *run) writePlain(answer *plainAnswer) {
-	run.copyHeader(answer.header)
-	run.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	run.boundWrite()
-	run.writer.WriteHeader(answer.status)
-	_, _ = io.Copy(run.writer, bytes.NewReader(answer.body)) // a caller that is gone needs no answer
+// writePlain writes a whole response to the caller.
+func (forwarder *run) writePlain(answer *plainAnswer) {
+	forwarder.copyHeader(answer.header)
+	forwarder.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
+	forwarder.boundWrite()
+	forwarder.writer.WriteHeader(answer.status)
+	_, _ = io.Copy(forwarder.writer, bytes.NewReader(answer.body)) // the caller may have disconnected
 }
 
-// copyHeader puts a server's header into the answer.
-func (run *run) copyHeader(header http.Header) {
-	target := run.writer.Header()
-	for name, values := range run.gateway.codec.ClientHeader(header) {
+// copyHeader copies the header of a server's response into the response to the caller.
+func (forwarder *run) copyHeader(header http.Header) {
+	target := forwarder.writer.Header()
+	for name, values := range forwarder.gateway.codec.ClientHeader(header) {
 		target[name] = values
 	}
 	if _, stated := target["Content-Type"]; !stated {
-		target["Content-Type"] = nil // net/http would guess one
+		target["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
 
-// boundWrite bounds how long the caller may take to read what comes next.
-func (run *run) boundWrite() {
-	deadline := run.gateway.now().Add(run.gateway.settings.Request.WriteTime)
-	_ = http.NewResponseController(run.writer).SetWriteDeadline(run.gateway.clock.ForTimers(deadline)) // a connection that is gone fails the write
+// boundWrite sets the deadline for the caller to read what is written next.
+func (forwarder *run) boundWrite() {
+	deadline := forwarder.gateway.now().Add(forwarder.gateway.settings.Request.WriteTime)
+	_ = http.NewResponseController(forwarder.writer).SetWriteDeadline(forwarder.gateway.clock.ForTimers(deadline)) // on a closed connection the write fails
 }
 
-// attempted is an attempt whose server answers with a stream.
+// attempted is an attempt whose server has started to respond.
 type attempted struct {
 	plan     placement.Plan
 	use      *pool.Use
 	response *upstream.Response
-	// watchdog ends the attempt when the server is silent for too long, or is nil for one that may be silent.
+	// watchdog cancels the attempt when the server sends nothing for too long. It is nil if the
+	// attempt has no such limit.
 	watchdog *time.Timer
-	// patience is how long it may be silent before its answer.
+	// patience is how long the server may take to respond.
 	patience time.Duration
-	// stalled says that the caller took long to read an event. What the server sent before is still read after that.
+	// stalled is true once the caller took long to read an event. Events that the server sent
+	// before that are still read afterwards.
 	stalled bool
 }
 
-// expect lets the attempt end if the server is silent for so long from now on.
-func (attempted *attempted) expect(silence time.Duration) {
-	if attempted.watchdog != nil {
-		attempted.watchdog.Reset(silence)
+// expect makes the watchdog cancel the attempt if the server sends nothing for the given
+// time from now on.
+func (activeAttempt *attempted) expect(silence time.Duration) {
+	if activeAttempt.watchdog != nil {
+		activeAttempt.watchdog.Reset(silence)
 	}
 }
 
-// rest lets the server be silent for any time.
-func (attempted *attempted) rest() {
-	if attempted.watchdog != nil {
-		attempted.watchdog.Stop()
+// rest stops the watchdog, so that the server may send nothing for any time.
+func (activeAttempt *attempted) rest() {
+	if activeAttempt.watchdog != nil {
+		activeAttempt.watchdog.Stop()
 	}
 }
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -7,20 +7,22 @@
 	"github.com/mastwinch/mastwinch/internal/call"
 )
 
-// Codec translates heads between the protocol of callers and servers and the
-// product's own types.
+// Codec translates between HTTP headers of callers and backend servers and the gateway's own types.
+// It must be safe for concurrent use.
 type Codec interface {
-	// Head decodes what a caller states. It returns a *call.FieldError when a
-	// field is wrong, and as much of the head as it understood.
+	// Head decodes the header of a caller's request. It returns a *call.FieldError when a field is
+	// malformed, along with all fields that could be decoded.
 	Head(request *http.Request) (call.Head, error)
-	// ServerHeader returns the header for a server.
+	// ServerHeader returns the header to send to a server.
 	ServerHeader(header http.Header, dispatch call.Dispatch) http.Header
-	// Answer decodes what a server says in the head of its answer.
+	// Answer decodes the status and header of a server's response.
 	Answer(status int, header http.Header) call.Answer
-	// Notice decodes what the server that was meant says of itself in the head of an answer.
+	// Notice decodes what the addressed server states about itself in the header of a
+	// response.
 	Notice(status int, header http.Header) call.Notice
-	// ClientHeader returns the header for the caller of a server's answer.
+	// ClientHeader returns the header to send to the caller for the header of a server's response.
 	ClientHeader(header http.Header) http.Header
-	// Refusal adds to the header of an answer of the gateway's own.
+	// Refusal adds fields to the header of a response that the gateway itself generates. A zero
+	// retryAfter means that the caller is not told when to retry.
 	Refusal(header http.Header, requestID string, retryAfter time.Duration)
 }
--- /dev/null
+++ b/internal/gateway/coordinated.go
@@ -0,0 +1,118 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/dispatch"
+	"github.com/mastwinch/mastwinch/internal/placement"
+	"github.com/mastwinch/mastwinch/internal/pool"
+)
+
+// placeElsewhere requests a placement from the coordinator. While no coordinator responds it
+// places the request itself, with only the requests of this VM counted as load.
+func (forwarder *run) placeElsewhere(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+	gateway := forwarder.gateway
+	if until := forwarder.heldUntil(); until.Before(forwarder.deadline) { // otherwise ctx ends first, with the cause of that
+		queueCtx, cancel := context.WithTimeout(ctx, until.Sub(gateway.now()))
+		defer cancel()
+		ctx = queueCtx
+	}
+	for !forwarder.hopeless() {
+		changed := gateway.pool.Changed()
+		plan, use, placed := forwarder.ask(ctx)
+		forwarder.granted = placed
+		if !placed && !forwarder.refused && ctx.Err() == nil {
+			plan, use, placed = forwarder.look()
+		}
+		if placed {
+			return plan, use, true
+		}
+		if forwarder.refused || !forwarder.waitForRoom(ctx, changed) {
+			break
+		}
+	}
+	return placement.Plan{}, nil, false
+}
+
+// ask requests placements from the coordinator until it returns one whose servers are
+// all in this VM's pool.
+func (forwarder *run) ask(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+	gateway := forwarder.gateway
+	for ctx.Err() == nil {
+		id := gateway.pool.ReserveID()
+		alreadyCounted := forwarder.asked
+		forwarder.asked = true
+		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.Ask { return forwarder.newAsk(id, alreadyCounted) })
+		forwarder.refused = placed && answer.Decision == dispatch.DecisionRefused
+		switch {
+		case forwarder.refused && forwarder.hopeless():
+		case forwarder.refused && answer.Return > 0:
+			forwarder.givenUp = givenUp{reason: ReasonLimited, until: gateway.now().Add(answer.Return)}
+		case forwarder.refused && forwarder.sends > 0:
+			forwarder.givenUp = givenUp{reason: ReasonRefused}
+		}
+		if !placed || forwarder.refused {
+			return placement.Plan{}, nil, false
+		}
+		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, answer.Servers)
+		if len(missing) == 0 {
+			if answer.Limited {
+				gateway.pool.WatchLimit(servers[0].ID)
+			}
+			plan := planOf(answer, servers)
+			return plan, gateway.pool.StartAs(id, plan, forwarder.placementRequest()), true
+		}
+		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
+		// does not include a new server yet. Another placement is requested without the missing
+		// servers.
+		gateway.coordinator.Withdraw(id)
+		gateway.logger.Info("coordinator chose servers that are not in the pool", "request_id", forwarder.head.ID, "servers", missing)
+		if slices.Contains(forwarder.tried, missing[0]) {
+			return placement.Plan{}, nil, false // the coordinator has no other servers
+		}
+		forwarder.tried = append(forwarder.tried, missing...)
+	}
+	return placement.Plan{}, nil, false
+}
+
+// newAsk returns the placement request for the coordinator. alreadyCounted is true when
+// the coordinator has counted the request for the retry budget before.
+func (forwarder *run) newAsk(id uint64, alreadyCounted bool) dispatch.Ask {
+	request := forwarder.placementRequest()
+	return dispatch.Ask{
+		ID: id, Service: forwarder.service.Name, Tokens: request.Tokens, Memory: request.Memory,
+		Gap: request.Gap, Objective: request.Objective, Due: request.Left, Stays: request.Stays,
+		DataCentre: request.DataCentre, Tried: forwarder.tried, KeptTo: forwarder.keptTo, Again: forwarder.arrivals > 0 && forwarder.gateway.retriesGranted(),
+		Counted: alreadyCounted,
+	}
+}
+
+// planOf returns the plan of the coordinator's decision, over the servers that it names.
+func planOf(answer dispatch.Answer, servers []placement.Server) placement.Plan {
+	return placement.Plan{
+		Server: servers[0], Helpers: servers[1:], Part: answer.Part, Shares: answer.Shares,
+		Predicted: answer.Predicted, Tight: answer.Tight, Reason: placement.Reason(answer.Reason),
+	}
+}
+
+// heldUntil returns until when a request is queued. A plain request, or one that was already
+// sent to a server, is queued until its deadline. Any other request is queued as long as the
+// settings allow, or, if it is tight (see placement.Request.Tight), while its caller could still
+// receive an event in time. This bounds the queue and the memory for its bodies, and leaves the
+// caller time to retry.
+func (forwarder *run) heldUntil() time.Time {
+	request := forwarder.placementRequest()
+	if forwarder.sends > 0 || request.Engine == nil || request.Gap == 0 {
+		return forwarder.deadline
+	}
+	if request.Tight() {
+		return forwarder.leaves().Add(-request.Least())
+	}
+	settings := forwarder.gateway.settings.Request
+	return forwarder.arrived.Add(settings.LastLook + time.Duration(min(
+		settings.HoldObjectives*float64(forwarder.route.Objective),
+		settings.HoldPart*float64(forwarder.deadline.Sub(forwarder.arrived)),
+	)))
+}
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -7,26 +7,27 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// drain lets what is in progress end, and then stops the process.
+// drain makes the VM report not ready, refuses new requests after the notice time, waits until
+// requests in flight have ended or the grace period is nearly over, and then stops the process.
 func (gateway *Gateway) drain(servers ...*http.Server) {
 	gateway.stopping.Store(true)
-	asked := gateway.now()
+	requestedAt := gateway.now()
 	gateway.logger.Info("gateway drains", "running", gateway.running.Load())
-	latest := asked.Add(gateway.bounds.Load().Grace - gateway.settings.Drain.Reserve)
-	earliest := asked.Add(gateway.settings.Drain.Notice)
-	wait.For(gateway.life, earliest.Sub(asked))
+	latestEnd := requestedAt.Add(gateway.bounds.Load().Grace - gateway.settings.Drain.Reserve)
+	refuseAt := requestedAt.Add(gateway.settings.Drain.Notice)
+	wait.For(gateway.life, refuseAt.Sub(requestedAt))
 	gateway.closing.Store(true)
-	for gateway.running.Load() > 0 && gateway.now().Before(latest) {
+	for gateway.running.Load() > 0 && gateway.now().Before(latestEnd) {
 		wait.For(gateway.life, drainTick)
 	}
-	gateway.logger.Info("gateway ends", "running", gateway.running.Load(), "after", gateway.now().Sub(asked))
+	gateway.logger.Info("gateway drained", "running", gateway.running.Load(), "after", gateway.now().Sub(requestedAt))
 	gateway.end(errStopping)
-	bounded, cancel := context.WithTimeout(context.Background(), gateway.settings.Drain.Reserve/2)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), gateway.settings.Drain.Reserve/2)
 	defer cancel()
 	for _, server := range servers {
-		// What has not ended by now is cut by the end of the process.
-		if err := server.Shutdown(bounded); err != nil {
-			_ = server.Close() // says no more than Shutdown did
+		// Connections that are still open after the timeout are closed when the process exits.
+		if err := server.Shutdown(shutdownCtx); err != nil {
+			_ = server.Close() // the error would repeat that of Shutdown
 		}
 	}
 }
--- a/internal/gateway/epochs.go
+++ b/internal/gateway/epochs.go
@@ -6,36 +6,39 @@
 	"time"
 )
 
-// followEpochs asks the store anew when another VM says that it came back older, and writes again there what the system
-// itself keeps once it did, until ctx is done.
+// followEpochs handles changes of the epoch of the platform's store until ctx is done. A new epoch
+// begins when the store is restored to an older state; everything that the gateways stored is then
+// written again.
 func (gateway *Gateway) followEpochs(ctx context.Context) {
-	var seen time.Time
+	var handledRestore time.Time
 	for ctx.Err() == nil {
 		changed := gateway.epochs.Changed()
-		rose := gateway.epochs.Rose()
-		gateway.stayInEpoch(ctx, changed, rose.After(seen))
-		seen = rose
+		restoredAt := gateway.epochs.Rose()
+		gateway.stayInEpoch(ctx, changed, restoredAt.After(handledRestore))
+		handledRestore = restoredAt
 	}
 }
 
-// stayInEpoch does what is to be done in one epoch until it is over. What was to be written again in an earlier one may
-// be lost again.
-func (gateway *Gateway) stayInEpoch(ctx context.Context, over <-chan struct{}, begins bool) {
+// stayInEpoch handles one epoch until it is over or ctx is done. It reads the store again whenever
+// another VM reports a newer epoch. afterRestore is true if the epoch began with a restore of the
+// store. Writes still in progress are cancelled when the epoch is over: the store may have lost
+// them again, and the next epoch starts them anew.
+func (gateway *Gateway) stayInEpoch(ctx context.Context, ended <-chan struct{}, afterRestore bool) {
 	var rewriting sync.WaitGroup
 	defer rewriting.Wait()
-	bounded, cancel := context.WithCancel(ctx)
+	epochCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if begins {
+	if afterRestore {
 		current, _ := gateway.epochs.Current()
-		gateway.logger.Warn("store came back older", "epoch", current)
-		rewriting.Go(func() { gateway.exchange.Reenter(bounded) })
-		rewriting.Go(func() { gateway.quarantine.Rewrite(bounded) })
+		gateway.logger.Warn("store was restored to an older state", "epoch", current)
+		rewriting.Go(func() { gateway.exchange.Reenter(epochCtx) })
+		rewriting.Go(func() { gateway.quarantine.Rewrite(epochCtx) })
 	}
 	for {
 		select {
 		case <-gateway.epochs.Hinted():
 			gateway.renew()
-		case <-over:
+		case <-ended:
 			return
 		case <-ctx.Done():
 			return
@@ -43,7 +46,7 @@
 	}
 }
 
-// renew asks the store at once.
+// renew makes the followers read the store at once.
 func (gateway *Gateway) renew() {
 	gateway.configuration.Renew()
 	gateway.directory.Renew()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway serves callers: it takes a request, checks it against the
-// configuration in force, sends it to backend servers, relays the answer, and
-// answers for the outcome.
+// Package gateway implements the gateway process of a VM. It admits a caller's request against the
+// configuration in force, forwards it to backend servers, relays the response and retries failed
+// attempts.
 package gateway
 
 import (
@@ -34,38 +34,40 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Times of the process itself.
+// Timing and size limits of the process that no settings file changes.
 const (
-	// houseTick is the time between looks at connections and limits.
+	// houseTick is the interval between sweeps of idle connections and updates of the
+	// retry limits.
 	houseTick = 500 * time.Millisecond
-	// drainTick is the time between looks whether all requests have ended.
+	// drainTick is the interval at which a draining process checks whether all requests
+	// have ended.
 	drainTick = 50 * time.Millisecond
-	// headerTimeout is the longest time for a head before a configuration says
-	// otherwise; the users' configurations say 3 s.
+	// headerTimeout is the longest time to receive the header of a request. It applies before a
+	// configuration is in force; the users' configurations set 3 s.
 	headerTimeout = 3 * time.Second
-	// maxHeaderBytes is the most that is ever read of a head; the users'
-	// configurations say 16 KiB.
+	// maxHeaderBytes is the most that is ever read of a request's header, in bytes; the users'
+	// configurations set 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// freshPart is the part of the bound on revoked keys up to which a VM with
-	// that old a belief calls itself ready.
+	// freshPart is the fraction of Bounds.Revoke up to which a VM reports ready, measured by
+	// the age of its configuration.
 	freshPart = 0.6
 )
 
-// Sources are where a gateway learns what it believes.
+// Sources are the stores that a gateway follows or writes to.
 type Sources struct {
 	Configuration follower.Source[catalog.Statement]
 	Servers       follower.Source[directory.Entry]
 	Register      exchange.Register
 	Quarantine    quarantine.Store
-	// Epochs hears of the epochs of the store that all of them are in.
+	// Epochs tracks the epoch of the platform's store, which all sources share.
 	Epochs *epoch.Watch
 }
 
-// Gateway is one gateway process.
+// Gateway is the gateway process of one VM. Its methods are safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	site     Site
-	// bounds are those of the settings file as it was read last.
+	// bounds are those of the settings file at its last reload.
 	bounds  atomic.Pointer[Bounds]
 	codec   Codec
 	network network.Network
@@ -73,14 +75,14 @@
 	clock   *clock.Clock
 	now     func() time.Time
 
-	// started is when the process did.
+	// started is the time at which the process started.
 	started time.Time
 
 	belief        *belief
 	configuration *follower.Follower[catalog.Statement]
 	directory     *follower.Follower[directory.Entry]
 	exchange      *exchange.Exchange
-	// tails has what is read, by the names of the sources, for other VMs.
+	// tails has the recently read part of each source by the source's name, served to other VMs.
 	tails        map[string]*follower.Tail
 	pool         *pool.Pool
 	policy       placement.Policy
@@ -93,37 +95,40 @@
 	quarantine   *quarantine.Book
 	epochs       *epoch.Watch
 
-	// running counts requests in progress.
+	// running counts requests in flight.
 	running atomic.Int64
-	// bodies has the bodies of requests in progress, and answers what servers sent that callers have not read.
+	// bodies limits the memory for the bodies of requests in flight, and responseMemory the
+	// memory for responses that callers have not read yet.
 	bodies  memory
 	answers *answerRoom
-	// stopping says that the process was asked to stop.
+	// stopping is true once the process was asked to stop.
 	stopping atomic.Bool
-	// closing says that new requests are refused, so that the process can end.
+	// closing is true once a draining process refuses new requests.
 	closing atomic.Bool
-	// life ends when what is in progress must end.
-	life context.Context //nolint:containedctx // requests outlive the call that stops the process
+	// life is cancelled when requests in flight must be aborted.
+	life context.Context //nolint:containedctx // requests outlive the context passed to Run
 	end  context.CancelCauseFunc
 
 	budgetMu sync.Mutex
-	// budgets has the retry budget of each service.
+	// budgets has the retry budget of each service by its name.
 	budgets map[string]*retrybudget.Budget
 }
 
-// errStopping ends what is in progress when the process must stop.
-var errStopping = errors.New("process stops")
+// errStopping is the cancellation cause of requests in flight when the process stops.
+var errStopping = errors.New("process is stopping")
 
-// errHarmful ends a request once it is known that servers crash under it.
-var errHarmful = errors.New("servers crash under the request")
+// errHarmful is the cancellation cause of a request that was quarantined because servers crash
+// while they process it.
+var errHarmful = errors.New("request is quarantined: servers crash while processing it")
 
-// New returns a gateway. It takes datagrams from now on.
+// New returns a gateway. It receives datagrams from other VMs from this call on, and serves once
+// Run is called.
 func New(
 	settings Settings, site Site, codec Codec, orders reservation.Codec, sources Sources,
-	system network.Network, clock *clock.Clock, logger *slog.Logger,
+	hostNetwork network.Network, clock *clock.Clock, logger *slog.Logger,
 ) (*Gateway, error) {
 	now := clock.Now
-	packets, err := system.ListenPacket(context.Background(), site.PeerAddress)
+	packetConn, err := hostNetwork.ListenPacket(context.Background(), site.PeerAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway")
 	}
@@ -131,21 +136,21 @@
 		VM: site.VM, Address: site.PeerAddress, DataCentre: site.DataCentre, Capacity: site.Capacity,
 		First: site.First,
 	}
-	exchange := exchange.New(settings.Exchange, self, packets, site.Seeds, sources.Register, sources.Epochs, logger, now)
-	servers := pool.New(settings.Pool, site.VM, exchange, logger, now)
-	life, end := context.WithCancelCause(context.Background())
+	exchange := exchange.New(settings.Exchange, self, packetConn, site.Seeds, sources.Register, sources.Epochs, logger, now)
+	serverPool := pool.New(settings.Pool, site.VM, exchange, logger, now)
+	baseContext, cancelBase := context.WithCancelCause(context.Background())
 	gateway := &Gateway{
 		settings: settings,
 		site:     site,
 		codec:    codec,
-		network:  system,
+		network:  hostNetwork,
 		logger:   logger,
 		clock:    clock,
 		now:      now,
-		belief:   newBelief(servers, logger),
+		belief:   newBelief(serverPool, logger),
 		started:  now(),
 		exchange: exchange,
-		pool:     servers,
+		pool:     serverPool,
 		policy:   newPolicy(settings),
 		idle:     newIdleConnections(now),
 		returns:  newReturns(now),
@@ -155,34 +160,34 @@
 
 		bodies:  memory{most: site.part(settings.Request.MaxBodyPart)},
 		answers: newAnswerRoom(site.part(settings.Request.MaxAnswersPart)),
-		life:    life,
-		end:     end,
+		life:    baseContext,
+		end:     cancelBase,
 		budgets: make(map[string]*retrybudget.Budget),
 	}
-	gateway.upstream = upstream.New(settings.Upstream, system, notices{gateway}, now)
+	gateway.upstream = upstream.New(settings.Upstream, hostNetwork, notices{gateway}, now)
 	gateway.coordinator = coordinator.New(settings.Coordinator, site.VM, gateway.policy, gateway.pool, gateway.service,
 		&commonRetries{gateway: gateway, budgets: make(map[string]*commonBudget)}, exchange, now)
-	gateway.reservations = reservation.New(life, settings.Reservation.WithHoldAtMost(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
+	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithHoldAtMost(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
 	gateway.metrics = newMetrics(gateway)
 	gateway.bounds.Store(&site.Bounds)
-	transport := network.NewTransport(system)
-	bound := func() time.Duration { return gateway.bounds.Load().Known() }
-	reading := settings.Feed
+	transport := network.NewTransport(hostNetwork)
+	maxDelay := func() time.Duration { return gateway.bounds.Load().Known() }
+	feedSettings := settings.Feed
 	if site.First {
-		reading.Meet = reading.MeetFirst
+		feedSettings.Meet = feedSettings.MeetFirst
 	}
-	// A question to the store has a bound of its own, and one to another VM too.
-	through := func(name string, direct follower.Log, patience time.Duration) follower.Log {
-		direct = follower.NewBounded(direct, patience)
-		return feed.New(name, direct, exchange, bound, transport, reading, sources.Epochs, logger, now)
+	// Reads of the store and reads from other VMs are each bounded by a timeout of their own.
+	viaPeers := func(name string, direct follower.Log, timeout time.Duration) follower.Log {
+		direct = follower.NewBounded(direct, timeout)
+		return feed.New(name, direct, exchange, maxDelay, transport, feedSettings, sources.Epochs, logger, now)
 	}
 	gateway.configuration = follower.New(
 		sources.Configuration.WithLog(
-			through(sources.Configuration.Name, sources.Configuration.Log, settings.Configuration.Patience)),
+			viaPeers(sources.Configuration.Name, sources.Configuration.Log, settings.Configuration.Patience)),
 		gateway.belief, settings.Configuration, sources.Epochs, logger, now)
 	gateway.directory = follower.New(
 		sources.Servers.WithLog(
-			through(sources.Servers.Name, sources.Servers.Log, settings.Directory.Patience)),
+			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.Patience)),
 		gateway.pool, settings.Directory.WithSettleAtLeast(lapseTime(site)), sources.Epochs, logger, now)
 	gateway.tails = map[string]*follower.Tail{
 		sources.Configuration.Name: gateway.configuration.Tail(),
@@ -191,15 +196,16 @@
 	return gateway, nil
 }
 
-// lapses is after how many silent heartbeats the entry of a server lapses, and one more for what is under way.
+// lapses is the number of heartbeat intervals after which the entry of a stopped server
+// has expired: three missed heartbeats, and one interval for a heartbeat still in transit.
 const lapses = 3 + 1
 
-// lapseTime is how long the entry of a server that ended may stand in the store.
+// lapseTime returns how long the entry of a stopped server may remain in the store.
 func lapseTime(site Site) time.Duration {
 	return lapses * site.Heartbeat
 }
 
-// service finds a service in the configuration in force.
+// service looks up a service in the configuration in force. It reports false while there is none.
 func (gateway *Gateway) service(name string) (*catalog.Service, bool) {
 	current := gateway.belief.current.Load()
 	if current == nil {
@@ -208,41 +214,41 @@
 	return current.Service(name)
 }
 
-// Run serves until ctx is done, and then until what is in progress has ended
-// or the grace is nearly over.
+// Run serves until ctx is done. It then drains: it returns when all requests have ended or the
+// grace period is nearly over.
 func (gateway *Gateway) Run(ctx context.Context) error {
 	defer gateway.end(errStopping)
-	front := &http.Server{
+	callerServer := &http.Server{
 		Handler:           http.HandlerFunc(gateway.serve),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         gateway.idle.changed,
 		ErrorLog:          slog.NewLogLogger(gateway.logger.Handler(), slog.LevelDebug),
 	}
-	ready := &http.Server{Handler: gateway.readyHandler(), ReadHeaderTimeout: headerTimeout}
-	peers := &http.Server{Handler: feed.Handler(gateway.tails, gateway.epochs, gateway.logger), ReadHeaderTimeout: headerTimeout}
-	group, working := errgroup.WithContext(gateway.life)
-	group.Go(func() error { return gateway.listenAndServe(working, front, gateway.site.Address) })
-	group.Go(func() error { return gateway.listenAndServe(working, ready, gateway.site.ReadyAddress) })
-	group.Go(func() error { return gateway.listenAndServe(working, peers, gateway.site.PeerAddress) })
+	readinessServer := &http.Server{Handler: gateway.readyHandler(), ReadHeaderTimeout: headerTimeout}
+	peerServer := &http.Server{Handler: feed.Handler(gateway.tails, gateway.epochs, gateway.logger), ReadHeaderTimeout: headerTimeout}
+	group, groupCtx := errgroup.WithContext(gateway.life)
+	group.Go(func() error { return gateway.listenAndServe(groupCtx, callerServer, gateway.site.Address) })
+	group.Go(func() error { return gateway.listenAndServe(groupCtx, readinessServer, gateway.site.ReadyAddress) })
+	group.Go(func() error { return gateway.listenAndServe(groupCtx, peerServer, gateway.site.PeerAddress) })
 	group.Go(func() error {
-		return gateway.exchange.Run(working, told{
+		return gateway.exchange.Run(groupCtx, told{
 			Pool: gateway.pool, Coordinator: gateway.coordinator, quarantine: gateway.quarantine, tails: gateway.tails,
 			judges: gateway.exchange.Judges, now: gateway.now,
 		})
 	})
-	group.Go(func() error { gateway.quarantine.Run(working, gateway.site.First); return nil })
-	group.Go(func() error { gateway.coordinator.Run(working); return nil })
-	group.Go(func() error { gateway.configuration.Run(working); return nil })
-	group.Go(func() error { gateway.directory.Run(working); return nil })
-	group.Go(func() error { gateway.keepHouse(working); return nil })
-	group.Go(func() error { gateway.followEpochs(working); return nil })
+	group.Go(func() error { gateway.quarantine.Run(groupCtx, gateway.site.First); return nil })
+	group.Go(func() error { gateway.coordinator.Run(groupCtx); return nil })
+	group.Go(func() error { gateway.configuration.Run(groupCtx); return nil })
+	group.Go(func() error { gateway.directory.Run(groupCtx); return nil })
+	group.Go(func() error { gateway.keepHouse(groupCtx); return nil })
+	group.Go(func() error { gateway.followEpochs(groupCtx); return nil })
 	defer gateway.clock.AfterWake(gateway.wokeUp)()
-	group.Go(func() error { gateway.clock.Run(working); return nil })
+	group.Go(func() error { gateway.clock.Run(groupCtx); return nil })
 	drained := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(drained)
-		gateway.drain(front, ready, peers)
+		gateway.drain(callerServer, readinessServer, peerServer)
 	})
 	gateway.logger.Info("gateway serves", "address", gateway.site.Address,
 		"data_centre", gateway.site.DataCentre, "policy", gateway.settings.Policy)
@@ -266,16 +272,17 @@
 	return errors.Wrap(err, "gateway")
 }
 
-// wokeUp takes all that is kept for old after a suspension. Ages are by then, since they are measured by its
-// clock; questions to the store and to other VMs that were under way are asked again.
+// wokeUp handles the resume of the machine after a suspension, which makes all stored state
+// stale: its age is measured by the gateway's clock and includes the suspension. The state is read
+// again, and reads from the store and from other VMs that were in flight are sent again.
 func (gateway *Gateway) wokeUp(slept time.Duration) {
-	gateway.logger.Warn("machine was suspended", "slept", slept)
+	gateway.logger.Warn("resumed after machine suspension", "slept", slept)
 	gateway.renew()
 	gateway.exchange.WokeUp(slept)
 }
 
-// keepHouse closes connections that were idle for too long, and brings limits
-// up to date.
+// keepHouse periodically closes connections that were idle for too long and updates the retry
+// limits, until ctx is done.
 func (gateway *Gateway) keepHouse(ctx context.Context) {
 	for wait.For(ctx, houseTick) {
 		gateway.upstream.Sweep()
@@ -286,8 +293,8 @@
 	}
 }
 
-// Reload takes over the settings file as it is now. Bounds are in force at once;
-// what else differs needs a new start.
+// Reload applies the settings file as it is now. Bounds take effect at once; all other changes need
+// a restart, and are logged.
 func (gateway *Gateway) Reload(site Site) {
 	bounds := site.Bounds
 	gateway.bounds.Store(&bounds)
@@ -296,18 +303,19 @@
 	gateway.logger.Info("settings read again", "bounds", bounds, "needs_restart", !reflect.DeepEqual(site, gateway.site))
 }
 
-// retryAfter returns when a refused caller may return.
+// retryAfter returns after how long a refused caller may retry.
 func (gateway *Gateway) retryAfter() time.Duration {
 	return between(gateway.settings.Request.RetryAfterMin, gateway.settings.Request.RetryAfterMax)
 }
 
-// storeRetryAfter returns when a caller may return that was refused by a VM
-// which knows no configuration yet.
+// storeRetryAfter returns after how long a caller may retry that was refused because this VM has no
+// configuration yet.
 func (gateway *Gateway) storeRetryAfter() time.Duration {
 	return between(gateway.settings.Request.StoreRetryMin, gateway.settings.Request.StoreRetryMax)
 }
 
-// between draws a time, so that callers do not return together.
-func between(least, most time.Duration) time.Duration {
-	return least + time.Duration(rand.Float64()*float64(most-least)) //nolint:gosec // no secret
+// between returns a random duration, so that refused callers do not all retry at the same
+// time.
+func between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rand.Float64()*float64(longest-shortest)) //nolint:gosec // not used for security
 }
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idleconnections.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// idleConnections closes callers' connections that have no request for too
-// long. The limit may change while the process runs, which the one of
-// net/http may not.
+// idleConnections closes callers' connections that have had no request for too long. net/http has
+// such a timeout too, but that cannot change while the server runs. It is safe for concurrent use.
 type idleConnections struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// since has when each connection without a request became so.
+	// since has the time at which each connection without a request became idle.
 	since map[net.Conn]time.Time
 }
 
@@ -22,7 +21,7 @@
 	return &idleConnections{now: now, since: make(map[net.Conn]time.Time)}
 }
 
-// changed notes the state of a connection.
+// changed records the state of a connection; it is a hook for http.Server.ConnState.
 func (idleconnections *idleConnections) changed(conn net.Conn, state http.ConnState) {
 	idleconnections.mu.Lock()
 	defer idleconnections.mu.Unlock()
@@ -33,25 +32,25 @@
 	delete(idleconnections.since, conn)
 }
 
-// close closes connections that were idle for longer than limit.
+// close closes connections that have been idle for longer than limit. Zero means no limit.
 func (idleconnections *idleConnections) close(limit time.Duration) {
 	if limit <= 0 {
 		return
 	}
 	before := idleconnections.now().Add(-limit)
 	for _, conn := range idleconnections.idleBefore(before) {
-		_ = conn.Close() // it may be closed already
+		_ = conn.Close() // it may already be closed
 	}
 }
 
 func (idleconnections *idleConnections) idleBefore(before time.Time) []net.Conn {
 	idleconnections.mu.Lock()
 	defer idleconnections.mu.Unlock()
-	var found []net.Conn
-	for conn, since := range idleconnections.since {
-		if since.Before(before) {
-			found = append(found, conn)
+	var idle []net.Conn
+	for conn, idleSince := range idleconnections.since {
+		if idleSince.Before(before) {
+			idle = append(idle, conn)
 		}
 	}
-	return found
+	return idle
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Names of labels.
+// Label names of the metrics.
 const (
 	labelRoute  = "route"
 	labelKind   = "kind"
@@ -19,7 +19,7 @@
 	labelNotice = "notice"
 )
 
-// metrics are the counters and histograms of a gateway.
+// metrics are the Prometheus metrics of a gateway.
 type metrics struct {
 	registry   *prometheus.Registry
 	requests   *prometheus.CounterVec
@@ -108,8 +108,8 @@
 	return promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{})
 }
 
-// ended notes the end of a request.
-func (metrics *metrics) ended(route, kind string, outcome outcome, took time.Duration) {
+// ended records the outcome and the duration of a request.
+func (metrics *metrics) ended(route, kind string, outcome outcome, elapsed time.Duration) {
 	metrics.requests.WithLabelValues(route, kind, strconv.Itoa(outcome.status), string(outcome.reason)).Inc()
-	metrics.duration.WithLabelValues(route, kind).Observe(took.Seconds())
+	metrics.duration.WithLabelValues(route, kind).Observe(elapsed.Seconds())
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -8,7 +8,7 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// Values of labelNotice.
+// Values of the label labelNotice.
 const (
 	noticeLeaving    = "leaving"
 	noticeRest       = "rest"
@@ -16,7 +16,8 @@
 	noticeUnreadable = "unreadable"
 )
 
-// notices hears what servers say of themselves in their answers, whatever they answer.
+// notices handles what servers state about themselves in their responses, whatever the
+// status of the response.
 type notices struct {
 	gateway *Gateway
 }
@@ -24,7 +25,7 @@
 var _ upstream.Listener = notices{}
 
 // Heard implements upstream.Listener.
-func (notices notices) Heard(server string, asked time.Time, status int, header http.Header) {
+func (notices notices) Heard(server string, sentAt time.Time, status int, header http.Header) {
 	gateway := notices.gateway
 	notice := gateway.codec.Notice(status, header)
 	if notice.Leaving {
@@ -40,11 +41,11 @@
 		gateway.metrics.notices.WithLabelValues(noticeLimit).Inc()
 		gateway.pool.Limits(server, notice.Limit.PerSecond)
 	case call.LimitNone:
-		gateway.pool.LiftsLimit(server, asked)
+		gateway.pool.LiftsLimit(server, sentAt)
 	case call.LimitUnclear:
 	}
 	for _, value := range notice.Unreadable {
 		gateway.metrics.notices.WithLabelValues(noticeUnreadable).Inc()
-		gateway.logger.Info("notice of a server not understood", "server", server, "status", status, "value", value)
+		gateway.logger.Info("malformed notice in a server's response", "server", server, "status", status, "value", value)
 	}
 }
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Reason says why the gateway itself answered a request, or why a stream ended
-// early.
+// Reason is why the gateway itself generated the response to a request, or why it ended a stream
+// early. The values are sent to callers and are labels of metrics.
 type Reason string
 
-// Reasons.
+// The reasons for which the gateway ends a request.
 const (
 	ReasonNone            Reason = ""
 	ReasonBadRequest      Reason = "bad_request"
@@ -38,7 +38,7 @@
 	ReasonCallerGone      Reason = "caller_gone"
 )
 
-// detail says what a caller can do beyond what the status says, or is empty.
+// detail returns what a caller can do beyond what the status implies, or an empty string.
 func (reason Reason) detail() string {
 	if reason == ReasonCrashesServers {
 		return "servers crash under this request; another try does not help until the time to return"
@@ -48,22 +48,24 @@
 
 // outcome is how a request ended.
 type outcome struct {
-	// status is what the caller got, or zero when it got none.
+	// status is the status that the caller received or is to receive, or zero if there is none.
 	status int
 	reason Reason
-	// retryAfter is when a caller may return, or zero.
+	// retryAfter is after how long the caller may retry; zero means that this is not stated.
 	retryAfter time.Duration
-	// mayHaveRun says that a server may have run the request.
+	// mayHaveRun is true if a server may have executed the request.
 	mayHaveRun bool
-	// answered says that an answer has been written, or begun, already.
+	// answered is true if a response was already written or started.
 	answered bool
-	// broken says that the answer was begun and cannot be ended.
+	// broken is true if the response was started and cannot be completed.
 	broken bool
 	server string
 }
 
-// promisesNotRun reports whether a status tells callers that the request has not run and never will. A server's own word for
-// that is another one, and without it such an answer isn't passed on: the caller would send again what may have run.
+// promisesNotRun reports whether a status states to callers that the request was not executed and
+// never will be. A server makes this statement in a header; a response with such a status but
+// without the header is not forwarded, since the caller might send again a request that was
+// executed.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -73,8 +75,8 @@
 	}
 }
 
-// failure returns the outcome of a request that ends without an answer of a
-// server. Not run is promised only where it is certain.
+// failure returns the outcome of a request that ends without a response of a server. Its status
+// states that the request was not executed only if that is certain.
 func failure(reason Reason, mayHaveRun bool, retryAfter time.Duration) outcome {
 	if !mayHaveRun {
 		return outcome{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
@@ -86,26 +88,27 @@
 	return outcome{status: status, reason: reason, mayHaveRun: true}
 }
 
+// refusal returns the outcome of a request that is refused before any server received it.
 func refusal(status int, reason Reason) outcome {
 	return outcome{status: status, reason: reason}
 }
 
-// errorBody is the body of an answer of the gateway's own.
+// errorBody is the JSON body of a response that the gateway itself generates.
 type errorBody struct {
 	Error     Reason `json:"error"`
 	Detail    string `json:"detail,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
-	// NotRun says that the request was not run and never will be.
+	// NotRun is true if the request was not executed and never will be.
 	NotRun bool `json:"not_run"`
 }
 
-// writeOutcome writes an answer of the gateway's own.
+// writeOutcome writes a response that the gateway itself generates.
 func (gateway *Gateway) writeOutcome(writer http.ResponseWriter, id string, outcome outcome, detail string) {
 	body, err := json.Marshal(errorBody{
 		Error: outcome.reason, Detail: detail, RequestID: id, NotRun: !outcome.mayHaveRun,
 	})
 	if err != nil {
-		gateway.logger.Error("answer not made", "request_id", id, "error", err)
+		gateway.logger.Error("encoding the error response failed", "request_id", id, "error", err)
 	}
 	header := writer.Header()
 	gateway.codec.Refusal(header, id, outcome.retryAfter)
@@ -115,5 +118,5 @@
 		header.Set("Connection", "close")
 	}
 	writer.WriteHeader(outcome.status)
-	_, _ = writer.Write(body) // a caller that is gone needs no answer
+	_, _ = writer.Write(body) // the caller may have disconnected
 }
--- /dev/null
+++ b/internal/gateway/peersink.go
@@ -0,0 +1,91 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/coordinator"
+	"github.com/mastwinch/mastwinch/internal/exchange"
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+	"github.com/mastwinch/mastwinch/internal/follower"
+	"github.com/mastwinch/mastwinch/internal/pool"
+	"github.com/mastwinch/mastwinch/internal/quarantine"
+)
+
+// told handles the messages of other VMs and provides what is sent to them.
+type told struct {
+	*pool.Pool
+	*coordinator.Coordinator
+
+	quarantine *quarantine.Book
+	tails      map[string]*follower.Tail
+	// judges reports whether this VM is one of the coordinators.
+	judges func() bool
+	now    func() time.Time
+}
+
+var _ exchange.Sink = told{}
+
+// Blind implements exchange.Sink. It reports whether the last read of any source failed.
+func (peerSink told) Blind() bool {
+	for _, tail := range peerSink.tails {
+		if tail.Lost() {
+			return true
+		}
+	}
+	return false
+}
+
+// Own implements exchange.Sink. It returns this VM's requests at servers, those whose server
+// connection was lost recently, and the rate limits of servers.
+func (peerSink told) Own() []pool.Report {
+	reports := peerSink.Pool.Own()
+	for _, loss := range peerSink.quarantine.Own() {
+		reports = append(reports, pool.Report{
+			Server: loss.Server, Phase: phaseOf(loss), Health: pool.HealthLost,
+			Fingerprint: loss.Fingerprint, Age: peerSink.now().Sub(loss.At),
+		})
+	}
+	return append(reports, peerSink.OwnLimits(peerSink.judges())...)
+}
+
+// Told implements exchange.Sink. It applies the reports of another VM.
+func (peerSink told) Told(vm string, reports []pool.Report) {
+	peerSink.Pool.Told(vm, reports)
+	for _, report := range reports {
+		if report.Fingerprint != fingerprint.None {
+			peerSink.noteRequest(report)
+		}
+	}
+}
+
+// noteRequest records how a request of another VM ended.
+func (peerSink told) noteRequest(report pool.Report) {
+	switch report.Health {
+	case pool.HealthGood:
+		peerSink.quarantine.Served(report.Fingerprint, report.Server)
+	case pool.HealthLost:
+		peerSink.quarantine.LostElsewhere(quarantine.Loss{
+			Fingerprint: report.Fingerprint, Server: report.Server, Ran: report.Phase == pool.PhaseWriting,
+		}, report.Age)
+	case pool.HealthUntold, pool.HealthFailed, pool.HealthClosed, pool.HealthNotFree, pool.HealthLeaving, pool.HealthResting,
+		pool.HealthLimited, pool.HealthUnlimited:
+	}
+}
+
+// phaseOf returns the phase of a request when the connection to its server was lost.
+func phaseOf(loss quarantine.Loss) pool.Phase {
+	if loss.Ran {
+		return pool.PhaseWriting
+	}
+	return pool.PhaseReading
+}
+
+// Quarantined implements exchange.Sink. It returns the quarantined requests to send to other VMs.
+func (peerSink told) Quarantined() []quarantine.Entry {
+	return peerSink.quarantine.Tell()
+}
+
+// ToldQuarantined implements exchange.Sink. It applies the quarantined requests of another VM.
+func (peerSink told) ToldQuarantined(entries []quarantine.Entry) {
+	peerSink.quarantine.Told(entries)
+}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -9,60 +9,62 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// place waits for servers with room, and takes them. It reports false when ctx
-// ended first, or when the request is given up.
-func (run *run) place(ctx context.Context) (placement.Plan, *pool.Use, bool) {
-	asked := run.gateway.now()
-	plan, use, placed := run.placeElsewhere(ctx)
-	now := run.gateway.now()
+// place waits for servers with capacity and claims it. It reports false when ctx ended
+// first or the request is rejected.
+func (forwarder *run) place(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+	startedAt := forwarder.gateway.now()
+	plan, use, placed := forwarder.placeElsewhere(ctx)
+	now := forwarder.gateway.now()
 	if !placed {
-		run.account.waited += now.Sub(asked)
-		run.gateway.logger.Info("not placed", "request_id", run.head.ID, "tried", run.tried,
-			"waited", now.Sub(asked), "held_enough", run.heldEnough())
+		forwarder.account.waited += now.Sub(startedAt)
+		forwarder.gateway.logger.Info("no server available for the request", "request_id", forwarder.head.ID, "tried", forwarder.tried,
+			"waited", now.Sub(startedAt), "held_enough", forwarder.heldEnough())
 		return placement.Plan{}, nil, false
 	}
-	run.account.place(now.Sub(asked), now.Sub(run.arrived), plan.Predicted)
-	run.logPlan(plan, now.Sub(asked))
+	forwarder.account.place(now.Sub(startedAt), now.Sub(forwarder.arrived), plan.Predicted)
+	forwarder.logPlan(plan, now.Sub(startedAt))
 	return plan, use, true
 }
 
-// look asks the policy once by what this VM knows itself, and takes the servers that it names.
-func (run *run) look() (placement.Plan, *pool.Use, bool) {
-	gateway := run.gateway
-	servers := placement.In(gateway.open(run.service, run.tried), run.keptTo)
+// look places the request by the state of this VM alone and claims capacity at the chosen
+// servers. It reports false if no server has capacity.
+func (forwarder *run) look() (placement.Plan, *pool.Use, bool) {
+	gateway := forwarder.gateway
+	servers := placement.In(gateway.open(forwarder.service, forwarder.tried), forwarder.keptTo)
 	if len(servers) == 0 {
-		run.tried = nil // all failed once: any may do better now
+		forwarder.tried = nil // every server failed once, so all are eligible again
 	}
-	request := run.placementRequest()
+	request := forwarder.placementRequest()
 	plan, ok := gateway.policy.Place(servers, request)
 	if !ok {
 		return placement.Plan{}, nil, false
 	}
-	use, within := gateway.pool.StartWithin(plan, request)
-	return plan, use, within
+	use, claimed := gateway.pool.StartWithin(plan, request)
+	return plan, use, claimed
 }
 
-// waitForRoom waits until a server may have room, or for a moment. It reports false
-// when ctx ended.
-func (run *run) waitForRoom(ctx context.Context, changed <-chan struct{}) bool {
-	look := time.NewTimer(run.gateway.settings.Request.Look)
-	defer look.Stop()
+// waitForRoom waits until server capacity may have changed, at most for the interval of the
+// settings. It reports false when ctx ended.
+func (forwarder *run) waitForRoom(ctx context.Context, changed <-chan struct{}) bool {
+	timer := time.NewTimer(forwarder.gateway.settings.Request.Look)
+	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-look.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-// heldEnough reports whether a request that no server has seen is given up: its
-// caller has time left then to come back, and its place in the queue is free.
-func (run *run) heldEnough() bool {
-	return run.sends == 0 && run.gateway.now().After(run.heldUntil())
+// heldEnough reports whether a request that no server has received has been queued for as
+// long as allowed. It is then rejected, so that the caller has time left to retry and the queue is
+// freed for others.
+func (forwarder *run) heldEnough() bool {
+	return forwarder.sends == 0 && forwarder.gateway.now().After(forwarder.heldUntil())
 }
 
-// open returns the servers that may get a request, with what this VM itself has
-// there. None of them is one that was tried, or that wants nothing from this VM now.
+// open returns the servers that may get a request, with this VM's connections to them.
+// It excludes servers that were tried and servers that requested backoff from this VM.
 func (gateway *Gateway) open(service *catalog.Service, tried []string) []placement.Server {
 	servers := placement.Without(gateway.pool.Open(service, tried), gateway.pool.Resting(gateway.site.VM))
 	for i := range servers {
@@ -71,38 +73,38 @@
 	return servers
 }
 
-func (run *run) logPlan(plan placement.Plan, waited time.Duration) {
+func (forwarder *run) logPlan(plan placement.Plan, waited time.Duration) {
 	helpers := make([]string, 0, len(plan.Helpers))
 	for _, helper := range plan.Helpers {
 		helpers = append(helpers, helper.ID)
 	}
-	run.gateway.logger.Info("placed", "request_id", run.head.ID, "send", run.sends, "route", run.route.Name,
-		"tokens", run.tokens(), "server", plan.Server.ID, "helpers", helpers, "reason", plan.Reason,
+	forwarder.gateway.logger.Info("placed", "request_id", forwarder.head.ID, "send", forwarder.sends, "route", forwarder.route.Name,
+		"tokens", forwarder.tokens(), "server", plan.Server.ID, "helpers", helpers, "reason", plan.Reason,
 		"predicted", plan.Predicted, "part", plan.Part, "backlog", plan.Server.Backlog,
 		"running", plan.Server.Running, "tight", plan.Server.Tight, "memory_free", plan.Server.MemoryFree,
 		"waited", waited)
 }
 
-// placementRequest describes the request to the policy.
-func (run *run) placementRequest() placement.Request {
+// placementRequest returns the request in the form that placement policies evaluate.
+func (forwarder *run) placementRequest() placement.Request {
 	request := placement.Request{
-		DataCentre:  run.gateway.site.DataCentre,
-		Gap:         run.route.Gap,
-		ShortestGap: run.service.ShortestGap,
-		Objective:   run.route.Objective,
-		Stays:       run.leaves().Sub(run.gateway.now()),
-		Seed:        run.seed + uint64(run.sends), //nolint:gosec // a small count
+		DataCentre:  forwarder.gateway.site.DataCentre,
+		Gap:         forwarder.route.Gap,
+		ShortestGap: forwarder.service.ShortestGap,
+		Objective:   forwarder.route.Objective,
+		Stays:       forwarder.leaves().Sub(forwarder.gateway.now()),
+		Seed:        forwarder.seed + uint64(forwarder.sends), //nolint:gosec // never negative
 	}
-	if run.head.Prompt != nil {
-		request.Engine = run.service.Engine
-		request.Tokens = run.head.Prompt.Tokens
-		request.Memory = run.head.Prompt.Tokens + run.head.Prompt.MaxTokens
+	if forwarder.head.Prompt != nil {
+		request.Engine = forwarder.service.Engine
+		request.Tokens = forwarder.head.Prompt.Tokens
+		request.Memory = forwarder.head.Prompt.Tokens + forwarder.head.Prompt.MaxTokens
 	}
-	request.Left = run.due(request.Tight()).Sub(run.gateway.now())
+	request.Left = forwarder.due(request.Tight()).Sub(forwarder.gateway.now())
 	return request
 }
 
-// tokens is the length of the prompt, or zero without one.
+// tokens returns the length of the prompt in tokens, or zero without a prompt.
 func (admitted *admitted) tokens() int {
 	if admitted.head.Prompt == nil {
 		return 0
@@ -110,39 +112,40 @@
 	return admitted.head.Prompt.Tokens
 }
 
-// Silence after which callers leave a stream, as the users state it: the
-// longest of three.
+// Callers abandon a stream after the longest of these three times without an event, as the users
+// state it: a minimum, a multiple of the objective and a multiple of the inter-event objective.
 const (
 	staysMin            = 2 * time.Second
 	staysObjectiveTimes = 4
 	staysGapTimes       = 8
 )
 
-// due is when the next event is in time: the first one within the objective, and each other one
-// within the pause after the one before it. So a stream that broke off goes before new
-// requests while its pause can still be kept, and after them when it can't. The objective of
-// a tight request counts from its caller's first try. That of others counts from this one:
-// they are few, and to let them yield leaves them without servers until the next fault.
-func (run *run) due(tight bool) time.Time {
+// due returns the deadline of the next event: the first event is due within the
+// objective, and each further one within the inter-event objective after the one before it. An
+// interrupted stream therefore takes precedence over new requests while its next event can still be
+// in time, and yields to them afterwards. The objective of a tight request counts from its caller's
+// first try. For other requests it counts from the current try: they are few, and with a lower
+// precedence they would get no servers until the next fault.
+func (forwarder *run) due(tight bool) time.Time {
 	switch {
-	case !run.account.last.IsZero():
-		return run.account.last.Add(run.route.Gap)
+	case !forwarder.account.last.IsZero():
+		return forwarder.account.last.Add(forwarder.route.Gap)
 	case tight:
-		return run.since.Add(run.route.Objective)
+		return forwarder.since.Add(forwarder.route.Objective)
 	default:
-		return run.arrived.Add(run.route.Objective)
+		return forwarder.arrived.Add(forwarder.route.Objective)
 	}
 }
 
-// leaves is when the caller leaves unless an event comes before.
-func (run *run) leaves() time.Time {
-	since := run.arrived
-	if !run.account.last.IsZero() {
-		since = run.account.last
+// leaves returns when the caller disconnects unless it receives an event before.
+func (forwarder *run) leaves() time.Time {
+	since := forwarder.arrived
+	if !forwarder.account.last.IsZero() {
+		since = forwarder.account.last
 	}
-	until := since.Add(max(staysMin, staysObjectiveTimes*run.route.Objective, staysGapTimes*run.route.Gap))
-	if run.deadline.Before(until) {
-		return run.deadline
+	until := since.Add(max(staysMin, staysObjectiveTimes*forwarder.route.Objective, staysGapTimes*forwarder.route.Gap))
+	if forwarder.deadline.Before(until) {
+		return forwarder.deadline
 	}
 	return until
 }
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// keysFresh reports whether the belief is young enough to serve a request with
-// a key.
+// keysFresh reports whether the configuration is recent enough to serve a request with a key,
+// which may have been revoked since. It always is unless Bounds.RevokeFailClosed is set.
 func (gateway *Gateway) keysFresh() bool {
 	if !gateway.bounds.Load().RevokeFailClosed {
 		return true
@@ -15,7 +15,7 @@
 	return known && age < gateway.bounds.Load().Revoke-gateway.settings.Request.RevokeMargin
 }
 
-// ready reports whether new connections should come to this VM.
+// ready reports whether the load balancer should open new connections to this VM.
 func (gateway *Gateway) ready() bool {
 	if gateway.stopping.Load() || gateway.belief.current.Load() == nil {
 		return false
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// keep notes to which data centres the route, and the organisation, keep the request, by the region of each data centre. It
-// reports false where they leave none: no server may get it then.
+// keep sets the data centres to which the route and the organisation restrict the
+// request, given the region of each data centre. It reports false if they allow none, so that no
+// server may get the request.
 func (admitted *admitted) keep(regions map[string]string) bool {
 	if len(admitted.route.Regions) == 0 && (admitted.organisation == nil || len(admitted.organisation.Regions) == 0) {
 		return true
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -12,116 +12,121 @@
 	"github.com/mastwinch/mastwinch/internal/events"
 )
 
-// relay passes whole events on until the stream ends. When it is cut, what was
-// passed on is known by lastEvent, and the stream may go on at another server.
-func (run *run) relay(ctx context.Context, attempted *attempted) result {
-	reader := events.NewReader(attempted.response)
-	silence := run.gateway.settings.Request.silence(run.route.Gap)
+// relay forwards whole events until the stream ends. When the stream breaks off, lastEvent
+// identifies what was forwarded, and another server may resume it.
+func (forwarder *run) relay(ctx context.Context, activeAttempt *attempted) result {
+	reader := events.NewReader(activeAttempt.response)
+	streamTimeout := forwarder.gateway.settings.Request.silence(forwarder.route.Gap)
 	first := true
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			return run.relayed(attempted)
+			return forwarder.relayed(activeAttempt)
 		}
 		if err != nil {
-			return run.cut(ctx, err, !first, attempted.stalled)
+			return forwarder.cut(ctx, err, !first, activeAttempt.stalled)
 		}
 		if first {
 			first = false
-			run.hasEvents.Store(true)
-			attempted.use.Read()
-			run.observeFirst(attempted)
+			forwarder.hasEvents.Store(true)
+			activeAttempt.use.Read()
+			forwarder.observeFirst(activeAttempt)
 		}
-		attempted.use.Event()
-		if !follows(event.ID, run.lastEvent) {
-			attempted.expect(silence)
+		activeAttempt.use.Event()
+		if !follows(event.ID, forwarder.lastEvent) {
+			activeAttempt.expect(streamTimeout)
 			continue
 		}
-		// While the caller does not read, the server is not read either: its silence then says nothing of it.
-		attempted.rest()
-		if err := run.pass(attempted, event); err != nil {
-			return result{kind: resultBroken, err: errors.Wrap(err, "caller")}
+		// The server is not read while the caller is not reading, so its silence must not count
+		// against it.
+		activeAttempt.rest()
+		if err := forwarder.pass(activeAttempt, event); err != nil {
+			return result{kind: resultBroken, err: errors.Wrap(err, "write to the caller")}
 		}
-		attempted.expect(silence)
+		activeAttempt.expect(streamTimeout)
 	}
 }
 
-// observeFirst notes the first event of an attempt.
-func (run *run) observeFirst(attempted *attempted) {
-	gateway := run.gateway
-	took := gateway.now().Sub(run.arrived)
-	gateway.metrics.firstEvent.WithLabelValues(run.route.Name).Observe(took.Seconds())
-	gateway.logger.Info("first event", "request_id", run.head.ID, "server", attempted.plan.Server.ID,
-		"took", took, "predicted", attempted.plan.Predicted)
+// observeFirst records the time to the first event of an attempt.
+func (forwarder *run) observeFirst(activeAttempt *attempted) {
+	gateway := forwarder.gateway
+	elapsed := gateway.now().Sub(forwarder.arrived)
+	gateway.metrics.firstEvent.WithLabelValues(forwarder.route.Name).Observe(elapsed.Seconds())
+	gateway.logger.Info("first event", "request_id", forwarder.head.ID, "server", activeAttempt.plan.Server.ID,
+		"took", elapsed, "predicted", activeAttempt.plan.Predicted)
 }
 
-// cut returns the result of a stream that broke off, after an event or before. Where the caller had stalled it the server
-// may have cut it for that.
-func (run *run) cut(ctx context.Context, err error, ran, stalled bool) result {
+// cut returns the result of a stream that broke off. receivedEvent is true if the
+// stream had an event. callerStalled is true if the caller had stopped reading, in which case the
+// server may have closed the stream for that reason.
+func (forwarder *run) cut(ctx context.Context, err error, receivedEvent, callerStalled bool) result {
 	cause := context.Cause(ctx)
 	if cause != nil {
 		err = errors.CombineErrors(cause, err)
 	}
 	return result{
-		kind: resultUncertain, status: http.StatusOK, lost: cause == nil && !stalled, ran: ran, excused: stalled,
-		err: errors.Wrap(err, "stream"),
+		kind: resultUncertain, status: http.StatusOK, lost: cause == nil && !callerStalled, ran: receivedEvent, excused: callerStalled,
+		err: errors.Wrap(err, "read the server's stream"),
 	}
 }
 
-// relayed ends the answer.
-func (run *run) relayed(attempted *attempted) result {
-	run.begin(attempted)
+// relayed completes the response. It writes the header if the stream had no events.
+func (forwarder *run) relayed(activeAttempt *attempted) result {
+	forwarder.begin(activeAttempt)
 	return result{kind: resultAnswered, status: http.StatusOK}
 }
 
-// begin writes the head of the first server's answer, once.
-func (run *run) begin(attempted *attempted) {
-	if run.begun {
+// begin writes the header of the first server's response. It does nothing if a header was
+// already written.
+func (forwarder *run) begin(activeAttempt *attempted) {
+	if forwarder.begun {
 		return
 	}
-	run.begun = true
-	run.copyHeader(attempted.response.Header)
-	run.writer.WriteHeader(attempted.response.Status)
+	forwarder.begun = true
+	forwarder.copyHeader(activeAttempt.response.Header)
+	forwarder.writer.WriteHeader(activeAttempt.response.Status)
 }
 
 const (
-	// slowPass is from how long on a caller has held the reading of its stream up.
+	// slowPass is the duration of a write above which the caller delayed the reading of
+	// the server's stream.
 	slowPass = 20 * time.Millisecond
-	// stalledPass is from how long on the server may cut the answer off for that.
+	// stalledPass is the duration of a write above which the server may abort the stream
+	// because it was not read.
 	stalledPass = time.Second
 )
 
-// pass passes one event on at once.
-func (run *run) pass(attempted *attempted, event events.Event) error {
-	started := run.gateway.now()
-	run.boundWrite()
-	run.begin(attempted)
-	if _, err := run.writer.Write(event.Raw); err != nil {
+// pass writes one event to the caller and flushes it.
+func (forwarder *run) pass(activeAttempt *attempted, event events.Event) error {
+	startedAt := forwarder.gateway.now()
+	forwarder.boundWrite()
+	forwarder.begin(activeAttempt)
+	if _, err := forwarder.writer.Write(event.Raw); err != nil {
 		return errors.WithStack(err)
 	}
-	if err := http.NewResponseController(run.writer).Flush(); err != nil {
+	if err := http.NewResponseController(forwarder.writer).Flush(); err != nil {
 		return errors.WithStack(err)
 	}
 	if event.ID != "" {
-		run.lastEvent = event.ID
+		forwarder.lastEvent = event.ID
 	}
-	now := run.gateway.now()
-	if now.Sub(started) > slowPass {
-		attempted.use.Interrupted()
+	now := forwarder.gateway.now()
+	if now.Sub(startedAt) > slowPass {
+		activeAttempt.use.Interrupted()
 	}
-	attempted.stalled = attempted.stalled || now.Sub(started) > stalledPass
-	run.account.pass(run.arrived, now)
-	run.gateway.metrics.eventDelay.Observe(now.Sub(started).Seconds())
+	activeAttempt.stalled = activeAttempt.stalled || now.Sub(startedAt) > stalledPass
+	forwarder.account.pass(forwarder.arrived, now)
+	forwarder.gateway.metrics.eventDelay.Observe(now.Sub(startedAt).Seconds())
 	return nil
 }
 
-// follows reports whether the caller does not have the event yet. IDs rise; one
-// that is no number is always new.
+// follows reports whether an event comes after the last one that the caller received. IDs
+// increase; an ID that is not a number is always taken as new.
 func follows(id, last string) bool {
-	next, err := strconv.ParseInt(id, 10, 64)
+	number, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return true
 	}
-	had, err := strconv.ParseInt(last, 10, 64)
-	return err != nil || next > had
+	lastNumber, err := strconv.ParseInt(last, 10, 64)
+	return err != nil || number > lastNumber
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,16 +13,17 @@
 	"github.com/mastwinch/mastwinch/internal/catalog"
 )
 
-// serve answers one request of a caller.
+// serve handles one request of a caller. It aborts the connection when a response that was started
+// cannot be completed.
 func (gateway *Gateway) serve(writer http.ResponseWriter, incoming *http.Request) {
-	gateway.clock.Sync() // else what is old would look young right after a suspension
-	arrived := gateway.now()
+	gateway.clock.Sync() // without it, stale state would seem fresh right after a suspension
+	arrivedAt := gateway.now()
 	gateway.running.Add(1)
 	defer gateway.running.Add(-1)
 	if gateway.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	admitted, refused, detail := gateway.admit(incoming, arrived)
+	admitted, refused, detail := gateway.admit(incoming, arrivedAt)
 	if refused.status != 0 {
 		gateway.writeOutcome(writer, admitted.head.ID, refused, detail)
 		gateway.ended(admitted, refused, &run{})
@@ -37,19 +38,19 @@
 	}
 	ctx, cancel := gateway.bound(incoming.Context(), admitted.deadline)
 	defer cancel()
-	run := newRun(gateway, admitted, body, writer)
-	outcome := run.execute(ctx)
+	forwarder := newRun(gateway, admitted, body, writer)
+	outcome := forwarder.execute(ctx)
 	if !outcome.answered && outcome.reason != ReasonCallerGone {
 		gateway.writeOutcome(writer, admitted.head.ID, outcome, outcome.reason.detail())
 	}
-	gateway.ended(admitted, outcome, run)
+	gateway.ended(admitted, outcome, forwarder)
 	if outcome.broken {
-		panic(http.ErrAbortHandler) // net/http's way of cutting an answer that must not look whole
+		panic(http.ErrAbortHandler) // makes net/http abort the connection, so that the caller sees the response as incomplete
 	}
 }
 
-// bound returns a context that ends when the caller is gone, when the time is
-// over, or when the process must stop.
+// bound returns the context of a request. It ends when the caller disconnects, at the
+// deadline, or when the process must abort requests; context.Cause distinguishes these.
 func (gateway *Gateway) bound(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	cancellable, cancel := context.WithCancelCause(parent)
 	stop := context.AfterFunc(gateway.life, func() { cancel(errStopping) })
@@ -61,7 +62,7 @@
 	}
 }
 
-// admitted is a request that the configuration in force allows.
+// admitted is a request that passed the checks against the configuration in force.
 type admitted struct {
 	head     call.Head
 	incoming *http.Request
@@ -70,90 +71,95 @@
 	service  *catalog.Service
 	// organisation is nil for a request without a key.
 	organisation *catalog.Organisation
-	// keptTo has the data centres whose servers may get it, or none where any may.
+	// keptTo has the names of the data centres whose servers may process the request,
+	// sorted; it is empty when all may.
 	keptTo  []string
 	arrived time.Time
-	// since is when its caller first tried, as far as that can be told.
+	// since is the estimated time of the caller's first try, which is earlier than arrivedAt
+	// for a retry.
 	since time.Time
-	// deadline is when the caller must have an answer.
+	// deadline is when the gateway must have responded.
 	deadline time.Time
-	// callerDeadline is until when the caller waits.
+	// callerDeadline is when the caller stops waiting.
 	callerDeadline time.Time
 }
 
-// admit checks the head of a request. An outcome with a status refuses it.
-func (gateway *Gateway) admit(incoming *http.Request, arrived time.Time) (*admitted, outcome, string) {
-	result := &admitted{incoming: incoming, arrived: arrived}
+// admit checks the header of a request against the configuration in force. An outcome with a
+// non-zero status refuses the request; the string is the detail for the error body.
+func (gateway *Gateway) admit(incoming *http.Request, arrivedAt time.Time) (*admitted, outcome, string) {
+	request := &admitted{incoming: incoming, arrived: arrivedAt}
 	head, err := gateway.codec.Head(incoming)
-	result.head = head
+	request.head = head
 	if gateway.closing.Load() {
-		return result, failure(ReasonStopping, false, gateway.retryAfter()), ""
+		return request, failure(ReasonStopping, false, gateway.retryAfter()), ""
 	}
-	untilStarted := gateway.started.Add(gateway.settings.Request.StartHold).Sub(arrived)
+	untilStarted := gateway.started.Add(gateway.settings.Request.StartHold).Sub(arrivedAt)
 	current := gateway.awaitConfiguration(incoming.Context(), untilStarted)
 	if current == nil {
-		return result, failure(ReasonNoConfiguration, false, gateway.storeRetryAfter()), ""
+		return request, failure(ReasonNoConfiguration, false, gateway.storeRetryAfter()), ""
 	}
-	result.catalog = current
+	request.catalog = current
 	if headBytes(incoming) > current.Limits().MaxHeaderBytes && current.Limits().MaxHeaderBytes > 0 {
-		return result, refusal(http.StatusRequestHeaderFieldsTooLarge, ReasonHeadTooLong), ""
+		return request, refusal(http.StatusRequestHeaderFieldsTooLarge, ReasonHeadTooLong), ""
 	}
 	var field *call.FieldError
 	if errors.As(err, &field) {
-		return result, refusal(http.StatusBadRequest, ReasonBadRequest), field.Error()
+		return request, refusal(http.StatusBadRequest, ReasonBadRequest), field.Error()
 	}
 	if !strings.HasPrefix(incoming.RequestURI, "/") {
-		return result, refusal(http.StatusBadRequest, ReasonBadRequest), "target: must be a path"
+		return request, refusal(http.StatusBadRequest, ReasonBadRequest), "target: must be a path"
 	}
 	path, _, _ := strings.Cut(incoming.RequestURI, "?")
 	route, found := current.Route(incoming.Host, path)
 	if !found {
-		return result, refusal(http.StatusNotFound, ReasonNoRoute), ""
+		return request, refusal(http.StatusNotFound, ReasonNoRoute), ""
 	}
-	result.route = route
-	if refused := gateway.admitKey(result); refused.status != 0 {
-		return result, refused, ""
+	request.route = route
+	if refused := gateway.admitKey(request); refused.status != 0 {
+		return request, refused, ""
 	}
 	service, found := current.Service(route.Target(randomFraction()))
 	if !found {
-		return result, failure(ReasonNoServer, false, gateway.retryAfter()), "service not configured"
+		return request, failure(ReasonNoServer, false, gateway.retryAfter()), "service not configured"
 	}
-	result.service = service
-	if !result.keep(gateway.site.Regions) {
-		return result, failure(ReasonNoRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in all that are allowed"
+	request.service = service
+	if !request.keep(gateway.site.Regions) {
+		return request, failure(ReasonNoRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in all that are allowed"
 	}
-	result.setDeadlines(gateway.settings.Request.Margin)
-	result.since = gateway.returns.since(route.Name, route.Timeout, result.callerDeadline.Sub(arrived))
-	return result, outcome{}, ""
+	request.setDeadlines(gateway.settings.Request.Margin)
+	request.since = gateway.returns.since(route.Name, route.Timeout, request.callerDeadline.Sub(arrivedAt))
+	return request, outcome{}, ""
 }
 
-// awaitConfiguration returns the configuration in force, for which it waits that long when there is none
-// yet, and for its proof. Without one it returns nil. The proof comes a moment after the first configuration:
-// requests that wait for this one alone would be refused as if it were too old.
-func (gateway *Gateway) awaitConfiguration(ctx context.Context, most time.Duration) *catalog.Catalog {
-	if most <= 0 {
+// awaitConfiguration returns the configuration in force, or nil if there is none within the longest
+// wait. It also waits for the first proof that the configuration is current, which arrives shortly
+// after the configuration itself: without that, requests that waited for the configuration would be
+// refused as if it were too old.
+func (gateway *Gateway) awaitConfiguration(ctx context.Context, longest time.Duration) *catalog.Catalog {
+	if longest <= 0 {
 		return gateway.belief.current.Load()
 	}
-	bounded, cancel := context.WithTimeout(ctx, most)
+	waitCtx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	current := gateway.belief.await(bounded)
+	current := gateway.belief.await(waitCtx)
 	if current == nil {
 		return nil
 	}
 	select {
 	case <-gateway.configuration.Proven():
-	case <-bounded.Done():
+	case <-waitCtx.Done():
 	}
 	return current
 }
 
-// admitKey finds the organisation of a request by its key.
-func (gateway *Gateway) admitKey(result *admitted) outcome {
-	if !result.catalog.HasOrganisations() {
+// admitKey sets the organisation of a request from its key. An outcome with a non-zero status
+// refuses the request.
+func (gateway *Gateway) admitKey(request *admitted) outcome {
+	if !request.catalog.HasOrganisations() {
 		return outcome{}
 	}
-	key := result.head.Key
-	if key == "" && result.route.Anonymous {
+	key := request.head.Key
+	if key == "" && request.route.Anonymous {
 		return outcome{}
 	}
 	if key == "" {
@@ -162,15 +168,16 @@
 	if !gateway.keysFresh() {
 		return failure(ReasonStale, false, gateway.retryAfter())
 	}
-	organisation, found := result.catalog.Organisation(key)
-	if !found && !result.route.Anonymous {
+	organisation, found := request.catalog.Organisation(key)
+	if !found && !request.route.Anonymous {
 		return refusal(http.StatusUnauthorized, ReasonKeyUnknown)
 	}
-	result.organisation = organisation
+	request.organisation = organisation
 	return outcome{}
 }
 
-// organisationName returns whose key the caller used, or nothing.
+// organisationName returns the name of the organisation that owns the key, or an empty string
+// without one.
 func (admitted *admitted) organisationName() string {
 	if admitted.organisation == nil {
 		return ""
@@ -178,7 +185,7 @@
 	return admitted.organisation.Name
 }
 
-// setDeadlines reckons until when the request may take.
+// setDeadlines sets both deadlines from the route's timeout and the time that the caller states.
 func (admitted *admitted) setDeadlines(margin time.Duration) {
 	limit := admitted.route.Timeout
 	admitted.callerDeadline = admitted.arrived.Add(limit)
@@ -189,9 +196,9 @@
 	admitted.deadline = admitted.arrived.Add(limit - margin)
 }
 
-// headBytes is the size of a head, near enough.
+// headBytes returns the approximate size of a request's header in bytes.
 func headBytes(incoming *http.Request) int {
-	const perLine = 4 // colon, blank and the end of the line
+	const perLine = 4 // colon, space and line end, in bytes
 	count := len(incoming.Method) + len(incoming.RequestURI) + len(incoming.Host) + perLine
 	for name, values := range incoming.Header {
 		for _, value := range values {
@@ -201,25 +208,26 @@
 	return count
 }
 
-// readBody reads the whole body within the limits. It counts as kept until release is called.
+// readBody reads the whole body within the size and memory limits. The body counts against the
+// memory limit until release is called, which must happen even when the request is refused.
 func (gateway *Gateway) readBody(
 	writer http.ResponseWriter, incoming *http.Request, admitted *admitted,
 ) (body []byte, release func(), refused outcome) {
 	limit := admitted.catalog.Limits().MaxBodyBytes
-	nothing := func() {}
+	noRelease := func() {}
 	switch {
 	case incoming.ContentLength > limit:
-		return nil, nothing, refusal(http.StatusRequestEntityTooLarge, ReasonBodyTooLong)
+		return nil, noRelease, refusal(http.StatusRequestEntityTooLarge, ReasonBodyTooLong)
 	case incoming.Body == nil || incoming.Body == http.NoBody:
-		return nil, nothing, outcome{}
+		return nil, noRelease, outcome{}
 	case !gateway.bodies.fits(max(0, incoming.ContentLength)):
-		return nil, nothing, failure(ReasonNoMemory, false, gateway.retryAfter())
+		return nil, noRelease, failure(ReasonNoMemory, false, gateway.retryAfter())
 	}
 	controller := http.NewResponseController(writer)
-	_ = controller.SetReadDeadline(gateway.clock.ForTimers(admitted.deadline)) // a connection that is gone fails the read
+	_ = controller.SetReadDeadline(gateway.clock.ForTimers(admitted.deadline)) // on a closed connection the read fails
 	reader := &metered{Reader: http.MaxBytesReader(writer, incoming.Body, limit), memory: &gateway.bodies}
 	body, err := io.ReadAll(reader)
-	_ = controller.SetReadDeadline(time.Time{}) // as above
+	_ = controller.SetReadDeadline(time.Time{}) // a closed connection needs no deadline
 	var tooLong *http.MaxBytesError
 	switch {
 	case err == nil:
@@ -229,15 +237,15 @@
 	case errors.Is(err, errNoMemory):
 		return nil, reader.release, failure(ReasonNoMemory, false, gateway.retryAfter())
 	default:
-		gateway.logger.Info("body not read", "request_id", admitted.head.ID, "error", err)
+		gateway.logger.Info("reading the request body failed", "request_id", admitted.head.ID, "error", err)
 		return nil, reader.release, refusal(http.StatusBadRequest, ReasonBodyNotRead)
 	}
 }
 
-// ended logs and counts the end of a request. The run is empty for one that was
-// refused before it began.
-func (gateway *Gateway) ended(admitted *admitted, outcome outcome, run *run) {
-	took := gateway.now().Sub(admitted.arrived)
+// ended logs and counts the end of a request. The forwarder is empty for a request that was
+// refused before it was executed.
+func (gateway *Gateway) ended(admitted *admitted, outcome outcome, forwarder *run) {
+	duration := gateway.now().Sub(admitted.arrived)
 	route, version := &catalog.Route{}, int64(0)
 	if admitted.route != nil {
 		route = admitted.route
@@ -246,13 +254,13 @@
 		version = admitted.catalog.Version()
 	}
 	age, _ := gateway.configuration.Age()
-	gateway.metrics.ended(route.Name, string(route.Kind), outcome, took)
+	gateway.metrics.ended(route.Name, string(route.Kind), outcome, duration)
 	gateway.logger.Info("ended", "request_id", admitted.head.ID, "route", route.Name, "kind", route.Kind,
 		"organisation", admitted.organisationName(),
-		"fingerprint", run.fingerprint, "status", outcome.status, "reason", outcome.reason, "may_have_run", outcome.mayHaveRun,
-		"server", outcome.server, "broken", outcome.broken, "took", took,
-		"tokens", admitted.tokens(), "objective", route.Objective, "gap", route.Gap, "sends", run.sends,
-		"waited", run.account.waited, "placed", run.account.placed, "predicted", run.account.predicted,
-		"first", run.account.first, "pause", run.account.pause,
+		"fingerprint", forwarder.fingerprint, "status", outcome.status, "reason", outcome.reason, "may_have_run", outcome.mayHaveRun,
+		"server", outcome.server, "broken", outcome.broken, "took", duration,
+		"tokens", admitted.tokens(), "objective", route.Objective, "gap", route.Gap, "sends", forwarder.sends,
+		"waited", forwarder.account.waited, "placed", forwarder.account.placed, "predicted", forwarder.account.predicted,
+		"first", forwarder.account.first, "pause", forwarder.account.pause,
 		"version", version, "version_age", age)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -15,16 +15,16 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// Names of policies.
+// Names of the placement policies that a settings file may select.
 const (
 	PolicyLengthAware = "length_aware"
 	PolicyLeastInHand = "least_in_hand"
 	PolicyRoundRobin  = "round_robin"
 )
 
-// Settings tune a gateway. The defaults are for one city.
+// Settings are the tunable parameters of a gateway. The defaults suit data centres within one city.
 type Settings struct {
-	// Policy chooses engines.
+	// Policy is the name of the policy that selects engines for prompts.
 	Policy        string               `yaml:"policy" validate:"oneof=length_aware least_in_hand round_robin"`
 	Placement     placement.Settings   `yaml:"placement"`
 	Pool          pool.Settings        `yaml:"pool"`
@@ -42,80 +42,90 @@
 	Logging       LoggingSettings      `yaml:"logging"`
 }
 
-// RequestSettings tune the life of a request.
+// RequestSettings are the parameters of how a single request is handled.
 type RequestSettings struct {
-	// RevokeMargin is taken off the bound on revoked keys.
+	// RevokeMargin is subtracted from Bounds.Revoke: requests with a key are refused that much
+	// earlier.
 	RevokeMargin time.Duration `yaml:"revoke_margin" validate:"min=0"`
-	// Margin is how long before its time is over a request gets its answer.
+	// Margin is how long before the caller's deadline a request gets its response.
 	Margin time.Duration `yaml:"margin" validate:"min=0,max=1s"`
-	// Look is the time between looks for a server that has room.
+	// Look is the longest interval between two attempts to place a request that waits
+	// for server capacity.
 	Look time.Duration `yaml:"look" validate:"min=1ms"`
-	// HoldObjectives is the multiple of its objective for which a long prompt is held while no
-	// server has room. Later it cannot be in time, and others wait behind it.
+	// HoldObjectives is how long a long prompt is queued while no server has capacity, as a
+	// multiple of its objective. After that it can no longer meet its objective, and it delays the
+	// requests queued behind it.
 	HoldObjectives float64 `yaml:"hold_objectives" validate:"min=0.1"`
-	// HoldPart is the part of the time that its caller has for which it is held at
-	// most, so that one that came back is not held to its end for nothing.
+	// HoldPart is the largest fraction of the caller's time that a request may be queued.
+	// It keeps a retried request from being queued until its deadline without a chance of being
+	// served.
 	HoldPart float64 `yaml:"hold_part" validate:"min=0.1,max=1"`
-	// LastLook is for how long it is held beyond that: it is late then, and takes what harms
-	// nobody, where the VM that decides looks at it some times. Without it a prompt too long
-	// ever to be in time was refused beside idle servers.
+	// LastLook is added to the queueing time above. In this time the request has missed its
+	// objective and takes only capacity that delays no other request; the coordinator evaluates it
+	// several times. Without it, a prompt too long to ever meet its objective is refused even while
+	// servers are idle.
 	LastLook time.Duration `yaml:"last_look" validate:"min=0"`
-	// Silence is how long beyond the prediction a first event may take before
-	// another server is tried, and SilencePart the part of the prediction that
-	// is added.
+	// Silence is how long after the predicted time the first event may arrive before
+	// another server is tried. SilencePart is the fraction of the prediction that is added to it.
 	Silence     time.Duration `yaml:"silence" validate:"min=10ms"`
 	SilencePart float64       `yaml:"silence_part" validate:"min=0"`
-	// GapMin is the shortest silence within a stream after which it goes on at
-	// another server, and GapTimes its multiple of the pause in time.
+	// GapMin is the shortest time without an event after which a stream is resumed on
+	// another server. GapTimes gives the same time as a multiple of the route's inter-event
+	// objective; the longer of the two applies.
 	GapMin   time.Duration `yaml:"gap_min" validate:"min=10ms"`
 	GapTimes float64       `yaml:"gap_times" validate:"min=1"`
-	// RetryAfterMin and RetryAfterMax bound when a refused caller may return.
+	// RetryAfterMin and RetryAfterMax bound the random delay after which a refused caller may
+	// retry.
 	RetryAfterMin time.Duration `yaml:"retry_after_min" validate:"min=0"`
 	RetryAfterMax time.Duration `yaml:"retry_after_max" validate:"min=1ms,gtefield=RetryAfterMin"`
-	// StartHold is how long after the start of the process requests wait for its first
-	// configuration, which takes a moment where many VMs start together: else callers would be
-	// told to return only after seconds.
+	// StartHold is how long after the start of the process requests wait for the first
+	// configuration, which arrives slightly late when many VMs start together. Without it, callers
+	// would be told to retry only after seconds.
 	StartHold time.Duration `yaml:"start_hold" validate:"min=0,max=5s"`
-	// StoreRetryMin and StoreRetryMax are the same for a VM that knows no
-	// configuration yet. With the store it has one a moment after its start, so the store is
-	// away then, which lasts for seconds: callers that return sooner spend their tries.
+	// StoreRetryMin and StoreRetryMax are the same bounds for a VM without a configuration. A VM
+	// that reaches the store has one shortly after its start, so the store is unreachable in this
+	// case. That lasts seconds, and callers that retry sooner use up their retries.
 	StoreRetryMin time.Duration `yaml:"store_retry_min" validate:"min=0"`
 	StoreRetryMax time.Duration `yaml:"store_retry_max" validate:"min=1ms,gtefield=StoreRetryMin"`
-	// MaxAnswerBytes bounds an answer of a plain service, which is held whole.
+	// MaxAnswerBytes is the largest response of a plain service, which is buffered whole, in
+	// bytes.
 	MaxAnswerBytes int64 `yaml:"max_answer_bytes" validate:"min=1024"`
-	// MaxBodyPart is the part of the memory for bodies of all requests.
+	// MaxBodyPart is the fraction of the process's memory that the bodies of all requests
+	// may use.
 	MaxBodyPart float64 `yaml:"max_body_part" validate:"min=0.01,max=0.9"`
-	// MaxAnswersPart is the part of the memory for answers of plain services, of all requests.
+	// MaxAnswersPart is the fraction of the process's memory that all buffered responses of
+	// plain services may use.
 	MaxAnswersPart float64 `yaml:"max_answers_part" validate:"min=0.01,max=0.9"`
-	// WriteTime is how long a caller may take to read one event or answer.
+	// WriteTime is how long a caller may take to read one event or response.
 	WriteTime time.Duration `yaml:"write_time" validate:"min=100ms"`
-	// RetryPart is the part of the retry budget that is used.
+	// RetryPart is the fraction of the operator's retry budget that is used.
 	RetryPart float64 `yaml:"retry_part" validate:"min=0,max=1"`
 }
 
-// silence returns after which pause a stream is given up of which shorter ones than
-// gap are in time.
+// silence returns after how long without an event a stream is abandoned, where pauses of up
+// to gap meet the objective.
 func (settings RequestSettings) silence(gap time.Duration) time.Duration {
 	return max(settings.GapMin, time.Duration(settings.GapTimes*float64(gap)))
 }
 
-// DrainSettings tune a planned stop.
+// DrainSettings are the parameters of a planned stop.
 type DrainSettings struct {
-	// Notice is how long after the request to stop the balancer may still send
-	// connections.
+	// Notice is how long after the request to stop the load balancer may still open
+	// connections to this VM.
 	Notice time.Duration `yaml:"notice" validate:"min=0"`
-	// Reserve is kept of the grace for ending what has not ended.
+	// Reserve is the part of the grace period kept for aborting requests that have not
+	// ended.
 	Reserve time.Duration `yaml:"reserve" validate:"min=0"`
 }
 
-// LoggingSettings tune the log.
+// LoggingSettings are the parameters of the log.
 type LoggingSettings struct {
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
-	// Queue is how many lines wait to be written before lines are left out.
+	// Queue is how many lines may wait to be written; further lines are dropped.
 	Queue int `yaml:"queue" validate:"min=1"`
 }
 
-// DefaultSettings returns settings for data centres of one city.
+// DefaultSettings returns the settings for data centres within one city.
 func DefaultSettings() Settings {
 	return Settings{
 		Policy:      PolicyLengthAware,
@@ -129,12 +139,12 @@
 		Configuration: follower.Settings{
 			Wait: 1500 * time.Millisecond, Patience: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // within which the platform's writers write again
+			Settle: 2 * time.Second, // the platform's writers rewrite their entries within this time
 		},
 		Directory: follower.Settings{
 			Pause: 800 * time.Millisecond, Patience: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // or as long as the entry of a server that ended may stand in the copy
+			Settle: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
 		},
 		Reservation: reservation.DefaultSettings(),
 		Quarantine:  quarantine.DefaultSettings(),
@@ -168,7 +178,7 @@
 	}
 }
 
-// newPolicy returns the policy that the settings name.
+// newPolicy returns the placement policy selected by the settings.
 func newPolicy(settings Settings) placement.Policy {
 	switch settings.Policy {
 	case PolicyLeastInHand:
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -2,55 +2,60 @@
 
 import "time"
 
-// Site is what a VM learns of its place from its settings.
+// Site describes the VM's place in the deployment, as given by its settings file.
 type Site struct {
 	VM         string
 	DataCentre string
-	// Regions has the region of each data centre, by its name.
+	// Regions has the region of each data centre by the data centre's name.
 	Regions map[string]string
-	// Address is where callers connect.
+	// Address is where callers connect, as host:port.
 	Address string
-	// ReadyAddress is where the balancer asks whether the VM is ready.
+	// ReadyAddress serves the readiness check of the load balancer, the metrics and the status.
 	ReadyAddress string
-	// PeerAddress is where other VMs send datagrams and calls.
+	// PeerAddress is where other VMs send datagrams and HTTP requests.
 	PeerAddress string
-	// Seeds has the addresses at which some VMs take datagrams. They may be away or gone.
+	// Seeds has the peer addresses of some VMs, used to join the others. Any of them may be
+	// unreachable or removed.
 	Seeds []string
-	// Capacity is that of the VM's link, in Mbit/s.
+	// Capacity is the bandwidth of the VM's network link, in Mbit/s.
 	Capacity int
-	// Heartbeat is how often backend servers write their entries, or zero where that is not told.
+	// Heartbeat is the interval at which backend servers write their entries, or zero if it is not
+	// configured.
 	Heartbeat time.Duration
-	// First says that all VMs of the system start for the first time.
+	// First is true if all VMs of the system start for the first time.
 	First bool
 	// Store is the address of the platform's store.
 	Store string
-	// MemoryBytes is what the process may use, or zero.
+	// MemoryBytes is the memory that the process may use, or zero if it is not configured.
 	MemoryBytes int64
 	Bounds      Bounds
 }
 
-// Bounds are what the operator holds the system to.
+// Bounds are the limits that the operator requires the system to keep.
 type Bounds struct {
-	// Apply is how long after it was accepted a configuration must be in force.
+	// Apply is the longest time from the acceptance of a configuration until it is in force.
 	Apply time.Duration
-	// Evacuate is the same for the wish that a data centre's servers get nothing, or zero where that is not told.
+	// Evacuate is the same limit for an evacuation of a data centre, or zero if it is not
+	// configured.
 	Evacuate time.Duration
 	// Grace is the time from the request to stop until the process is killed.
 	Grace time.Duration
-	// Revoke is how long after its removal a key may still be served.
+	// Revoke is how long a key may still be accepted after it was revoked.
 	Revoke time.Duration
-	// RevokeFailClosed says that Revoke holds whatever is away.
+	// RevokeFailClosed is true if Revoke also holds while the store is unreachable: requests with a
+	// key are then refused.
 	RevokeFailClosed bool
-	// RetryRatio and RetrySlack bound retries to a service in RetryWindow, over
-	// all VMs: RetryRatio for each request, and RetrySlack beside.
+	// RetryRatio and RetrySlack bound the retries to a service within RetryWindow, over all VMs:
+	// RetryRatio retries for each request, and RetrySlack in addition.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// HoldMax is the longest time for which memory may be set aside at once.
+	// HoldMax is the longest time for which engine memory may be reserved at once.
 	HoldMax time.Duration
 }
 
-// Known is within what time all that the operator states must be known.
+// Known returns the longest time until any statement of the operator must have reached
+// this VM.
 func (bounds Bounds) Known() time.Duration {
 	if bounds.Evacuate == 0 {
 		return bounds.Apply
@@ -58,7 +63,8 @@
 	return min(bounds.Apply, bounds.Evacuate)
 }
 
-// part returns that part of the memory that the process may use, in bytes, or zero where that is not told.
-func (site Site) part(part float64) int64 {
-	return int64(part * float64(site.MemoryBytes))
+// part returns a fraction of the memory that the process may use, in bytes, or zero if
+// that is not configured.
+func (site Site) part(memoryFraction float64) int64 {
+	return int64(memoryFraction * float64(site.MemoryBytes))
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -8,29 +8,32 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// Status is what a VM knows of the servers and of who decides, for operators.
+// Status is the state of this VM as reported to operators: the servers, the coordinators and the
+// quarantined requests.
 type Status struct {
 	VM string `json:"vm"`
-	// Members is how many VMs are heard, and Coordinators has those that may decide, the one that does first.
+	// Members is the number of VMs whose heartbeats are received. Coordinators has the VMs that may
+	// be coordinator, the current one first.
 	Members      int      `json:"members"`
 	Coordinators []string `json:"coordinators"`
-	// Epoch counts how often the store came back older, and EpochSeconds is how long ago this VM saw it do so, or zero.
+	// Epoch counts how often the store was restored to an older state. EpochSeconds is how long ago
+	// this VM observed the last time, or zero if it observed none.
 	Epoch        int64               `json:"epoch"`
 	EpochSeconds float64             `json:"epoch_seconds,omitempty"`
 	Servers      []pool.ServerStatus `json:"servers"`
-	// Kept has the requests that are kept from servers.
+	// Kept has the quarantined requests, which are sent to no server.
 	Kept []KeptStatus `json:"kept,omitempty"`
 }
 
-// KeptStatus is a request that is kept from servers, since they crash under it.
+// KeptStatus is a quarantined request: servers crash while processing it.
 type KeptStatus struct {
 	Fingerprint string  `json:"fingerprint"`
 	Seconds     float64 `json:"seconds"`
-	// Times counts how often it was found to be the cause.
+	// Times counts how often the request was found to crash servers.
 	Times int `json:"times"`
 }
 
-// Status returns what this VM knows now.
+// Status returns the current state. It is safe for concurrent use.
 func (gateway *Gateway) Status() Status {
 	now := gateway.now()
 	members, _ := gateway.exchange.Members()
@@ -54,6 +57,6 @@
 	gateway.clock.Sync()
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(gateway.Status()); err != nil {
-		gateway.logger.Debug("status not written", "error", err)
+		gateway.logger.Debug("writing the status failed", "error", err)
 	}
 }
