--- /dev/null
+++ b/internal/dispatch/assignmentrequest.go
@@ -0,0 +1,92 @@
+package dispatch
+
+import "time"
+
+// AssignmentRequest is sent by a VM to the coordinator to get backend servers assigned to one
+// client request. Durations count from the moment of sending, so that clocks of VMs need not agree.
+type Ask struct {
+	// ID is unique to the VM.
+	ID      uint64
+	Service string
+	// Tokens is the length of the prompt. Memory is the KV memory, in tokens, that the prompt and
+	// its answer take together.
+	Tokens int
+	Memory int
+	// InterTokenObjective is the longest pause between events of the answer that meets the
+	// objective.
+	Gap time.Duration
+	// Objective is the time within which the first event is due, from the arrival of the request.
+	Objective time.Duration
+	// TimeToObjective is the time left until the first event is due. It is negative when the
+	// objective has been missed.
+	Due time.Duration
+	// TimeToCallerDeadline is how long the caller still waits for the request.
+	Stays      time.Duration
+	DataCentre string
+	// Tried lists the IDs of the servers that failed the request.
+	Tried []string
+	// AllowedDataCentres restricts the assignment to servers in these data centres. Empty means
+	// any.
+	KeptTo []string
+	// Cancelled reports that the request no longer needs servers. All fields but ID are unset then.
+	Withdrawn bool
+	// Retry reports that the request may have reached servers before, so that sending it to others
+	// takes a retry from the retry budget.
+	Again bool
+	// Counted reports that an earlier message for the same request was sent, so that the request
+	// must not earn a retry a second time.
+	Counted bool
+}
+
+// Decision is the outcome of an AssignmentRequest.
+type Decision int
+
+// Decisions of the coordinator.
+const (
+	// DecisionQueued means that the request waits for servers.
+	DecisionHeld Decision = iota
+	// DecisionAssigned means that servers are assigned to the request.
+	DecisionPlaced
+	// DecisionUnknownService means that the coordinator has no such service in its configuration.
+	DecisionUnknown
+	// DecisionRefused means that no assignment is expected before the caller's deadline.
+	DecisionRefused
+)
+
+// AssignmentResponse is the coordinator's response to an AssignmentRequest.
+type Answer struct {
+	// ID is the ID of the AssignmentRequest.
+	ID       uint64
+	Decision Decision
+	// Servers lists the IDs of the assigned servers. The first one decodes the answer.
+	Servers []string
+	// PrefillPerServer is the prefill time of each server.
+	Part time.Duration
+	// MemoryShares is the KV memory to reserve at each server, in tokens, in the order of Servers.
+	// It is nil when the first server's own memory is enough.
+	Shares []int
+	// PredictedTTFT is the predicted time to first token, from now.
+	Predicted time.Duration
+	Tight     bool
+	// RateLimited reports that the first server advertised a request rate limit. The VM must report
+	// an answer of that server that advertises none.
+	Limited bool
+	Reason  string
+	// RetryAfter is the delay after which the caller of a refused request may retry, or zero when
+	// it is unknown.
+	Return time.Duration
+}
+
+// Final reports whether the coordinator sends no further response for the request.
+func (response Answer) Final() bool {
+	return response.Decision == DecisionPlaced || response.Decision == DecisionRefused
+}
+
+// Response returns the response that carries the assignment to its VM.
+func (assignment Verdict) Placed() Answer {
+	plan := assignment.Plan
+	return Answer{
+		ID: assignment.ID, Decision: DecisionPlaced, Servers: plan.IDs(), Part: plan.Part, Shares: plan.Shares,
+		Predicted: plan.Predicted, Tight: plan.Tight, Limited: plan.Server.Limited, Reason: string(plan.Reason),
+	}
+}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -1,13 +1,12 @@
-// Package dispatch decides which of the requests that want servers get some now, and
-// in which order the others wait. It has no clock, lock or goroutine and does no I/O:
-// what is believed and the time come in, verdicts go out.
+// Package dispatch queues requests that need backend servers, and decides which of them get servers
+// now and in which order the others wait. It has no clock, lock or goroutine and does no I/O: the
+// state of the servers and the time are passed in, assignments are returned.
 //
-// It answers load at which requests of many VMs want the same servers at the same
-// moment: bursts of long prompts beyond what the engines read, and bursts of short ones
-// that fill them. One queue that knows each decision before it makes the next one needs
-// no time for VMs to hear of each other; where each VM looks in turn after the others
-// heard of the one before it, that time bounds the long prompts a second, however many
-// engines there are.
+// One queue for all VMs handles bursts in which requests of many VMs compete for the same servers:
+// long prompts beyond what the engines can prefill, or short ones that fill them. Each decision
+// takes all earlier ones into account without any message between VMs. If each VM decided by
+// itself, and only after the last decision had reached all VMs, that delay would bound the long
+// prompts a second, however many engines there are.
 package dispatch
 
 import (
@@ -17,45 +16,49 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// Servers is what is believed of the servers.
+// Servers gives access to the known state of the servers.
 type Servers interface {
-	// Open returns the servers of a service that may get requests.
+	// Available returns the servers of a service that may get requests.
 	Open(service string) []placement.Server
-	// Resting returns the servers that want nothing from a VM now.
+	// BackedOff returns the IDs of the servers that asked a VM to send nothing for now.
 	Resting(vm string) []string
-	// TakesPerSecond returns how many requests a second of all VMs those servers take that may get a request and want some from its
-	// VM, and reports whether all of these named limits.
+	// RateLimit returns the combined rate limit, in requests a second over all VMs, of the servers
+	// that the request may go to and that accept requests of its VM now. It reports whether all of
+	// these servers advertise limits.
 	TakesPerSecond(request *Request) (float64, bool)
-	// AllEvacuated reports whether the operator evacuates all servers that may get a request.
+	// AllEvacuated reports whether the operator has evacuated all servers that the request may go
+	// to.
 	AllEvacuated(request *Request) bool
-	// Take notes that a request got the servers of a plan.
+	// RecordAssignment records that the servers of a plan are assigned to a request.
 	Take(request *Request, plan placement.Plan)
 }
 
-// Queue has the requests that wait. It is not for use by several goroutines.
+// Queue holds the requests that wait for servers. It is not safe for concurrent use.
 type Queue struct {
 	policy placement.Policy
-	// waiting has each request once, in the order of the last pass.
+	// waiting has each queued request once, in the order of the last pass.
 	waiting []*Request
-	// late has what was learnt of late requests by their services.
+	// late has the throughput of late requests by service.
 	late map[string]*latePlaces
-	// returns has when the last refused caller of each service with limited servers was told to return.
+	// retryTimes has, by service, the retry time given to the last caller refused for rate limits.
 	returns map[string]time.Time
 }
 
-// New returns an empty queue whose requests get servers by a policy.
+// New returns an empty queue that places requests by the given policy.
 func New(policy placement.Policy) *Queue {
 	return &Queue{policy: policy, late: make(map[string]*latePlaces), returns: make(map[string]time.Time)}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of queued requests.
 func (queue *Queue) Len() int {
 	return len(queue.waiting)
 }
 
-// Offer gives servers to a new request, or lets it wait. All that wait already found no
-// place when something changed last, so it passes nobody who could have gone; but limited servers
-// take another request by time alone, so behind others that wait for them it waits for the next pass.
+// Offer assigns servers to a new request, or queues it, and reports whether it assigned any. A
+// request of the same key is replaced. Requests already queued found no servers when the state last
+// changed, so the new request overtakes none that could have been placed. But rate-limited servers
+// accept another request by the passing of time alone, so a request behind others for such servers
+// waits for the next pass.
 func (queue *Queue) Offer(request *Request, servers Servers, now time.Time) (Verdict, bool) {
 	queue.Remove(request.Key)
 	queue.waiting = append(queue.waiting, request)
@@ -73,21 +76,21 @@
 	return Verdict{Key: request.Key, Plan: plan}, true
 }
 
-// Pass gives servers to those that wait, in their order, and returns what was given. A
-// request that fits nowhere lets others go before it. Of those that still wait then it
-// drops the ones that are not expected to be served, and returns them too.
+// Dispatch assigns servers to queued requests, in order of priority, and returns the assignments. A
+// request that fits on no server does not block those behind it. Dispatch then refuses and returns
+// the remaining requests that are not expected to be served in time.
 func (queue *Queue) Pass(servers Servers, now time.Time) ([]Verdict, []Refusal) {
 	queue.watch(now)
 	slices.SortFunc(queue.waiting, compareAt(now, queue.overloaded))
-	views := make(map[string][]placement.Server)
-	var verdicts []Verdict
+	available := make(map[string][]placement.Server)
+	var assignments []Verdict
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(request *Request) bool {
-		view, known := views[request.Service]
-		if !known {
-			view = servers.Open(request.Service)
-			views[request.Service] = view
+		serviceServers, found := available[request.Service]
+		if !found {
+			serviceServers = servers.Open(request.Service)
+			available[request.Service] = serviceServers
 		}
-		plan, placed := queue.look(request, servers, view, now)
+		plan, placed := queue.look(request, servers, serviceServers, now)
 		if !placed {
 			return false
 		}
@@ -95,50 +98,52 @@
 		if request.Tight && request.late(now) {
 			queue.latePlaces(request.Service).give(now)
 		}
-		delete(views, request.Service) // it shows the servers as they were before
-		verdicts = append(verdicts, Verdict{Key: request.Key, Plan: plan})
+		delete(available, request.Service) // the assignment has changed their state
+		assignments = append(assignments, Verdict{Key: request.Key, Plan: plan})
 		return true
 	})
-	return verdicts, queue.refuse(servers, now)
+	return assignments, queue.refuse(servers, now)
 }
 
-// Find returns a request that waits, or nil.
+// Find returns the queued request of a key, or nil.
 func (queue *Queue) Find(key Key) *Request {
-	at := slices.IndexFunc(queue.waiting, func(request *Request) bool { return request.Key == key })
-	if at < 0 {
+	index := slices.IndexFunc(queue.waiting, func(request *Request) bool { return request.Key == key })
+	if index < 0 {
 		return nil
 	}
-	return queue.waiting[at]
+	return queue.waiting[index]
 }
 
-// Remove drops a request that wants no servers any more.
+// Remove drops a request that no longer needs servers. It does nothing if the request is not
+// queued.
 func (queue *Queue) Remove(key Key) {
 	queue.DropWhere(func(request *Request) bool { return request.Key == key })
 }
 
-// DropWhere drops the requests that match.
+// DropWhere drops the queued requests for which match returns true.
 func (queue *Queue) DropWhere(match func(*Request) bool) {
 	queue.waiting = slices.DeleteFunc(queue.waiting, match)
 }
 
-// look asks the policy for one request, by a view of the servers. Only those that it may get, and that its VM may use, count.
-func (queue *Queue) look(request *Request, servers Servers, view []placement.Server, now time.Time) (placement.Plan, bool) {
-	view = placement.In(view, request.KeptTo)
-	view = placement.Without(view, servers.Resting(request.VM))
-	open := placement.Without(view, request.Tried)
-	if len(open) == 0 {
-		open = view // all failed once: any may do better now
+// tryPlace applies the policy to one request. It considers only servers that the request may go to
+// and that accept requests of its VM.
+func (queue *Queue) look(request *Request, servers Servers, serviceServers []placement.Server, now time.Time) (placement.Plan, bool) {
+	serviceServers = placement.In(serviceServers, request.KeptTo)
+	serviceServers = placement.Without(serviceServers, servers.Resting(request.VM))
+	untried := placement.Without(serviceServers, request.Tried)
+	if len(untried) == 0 {
+		untried = serviceServers // all have failed the request once, so any may be tried again
 	}
-	return queue.policy.Place(open, request.at(now, queue.waitingWork(request.Service)))
+	return queue.policy.Place(untried, request.at(now, queue.waitingWork(request.Service)))
 }
 
-// waitingWork is the reading of all long prompts that wait for a service.
+// queuedPrefill returns the total prefill time of the long prompts queued for a service.
 func (queue *Queue) waitingWork(service string) time.Duration {
-	var work time.Duration
+	var prefill time.Duration
 	for _, request := range queue.waiting {
 		if request.Service == service && !request.Tight {
-			work += request.Work
+			prefill += request.Work
 		}
 	}
-	return work
+	return prefill
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -7,58 +7,59 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// Key names a request among those of all VMs.
+// Key identifies a request among those of all VMs.
 type Key struct {
 	VM string
 	// ID is unique to the VM.
 	ID uint64
 }
 
-// Request is a request that wants servers.
+// Request is a client request that needs servers.
 type Request struct {
 	Key
 
 	Service string
-	// Tried has the servers that failed it.
+	// Tried lists the IDs of the servers that failed the request.
 	Tried []string
-	// KeptTo has the data centres whose servers may get it, or none where any may.
+	// AllowedDataCentres restricts the request to servers in these data centres. Empty means any.
 	KeptTo []string
-	// Due is when its first event is in time, and Leaves until when its caller waits
-	// for it.
+	// ObjectiveDeadline is when the first event is due. CallerDeadline is until when the caller
+	// waits for it.
 	Due    time.Time
 	Leaves time.Time
-	// Tight says that it fits beside others quickly or not at all, as one of a plain
-	// service or by placement.Request.Tight.
+	// Packable reports that the request is served by one server beside others at once, or not at
+	// all: a request to a plain service, or one for which placement.Request.Packable holds.
 	Tight bool
-	// Work is the reading of its prompt, and Least the shortest time from its placing to
-	// its first event.
+	// Prefill is the time that one server takes to prefill the prompt. MinTTFT is the shortest
+	// possible time from assignment to the first event.
 	Work  time.Duration
 	Least time.Duration
-	// Placement is what a policy needs to know. Left, Stays and Waiting are reckoned
-	// at each look.
+	// Placement is the input of the policy. TimeToObjective, TimeToCallerDeadline and QueuedPrefill
+	// are computed for each attempt.
 	Placement placement.Request
 }
 
-// at returns what a policy needs to know of the request now.
-func (request *Request) at(now time.Time, waiting time.Duration) placement.Request {
-	asked := request.Placement
-	asked.Left = request.Due.Sub(now)
-	asked.Stays = request.Leaves.Sub(now)
-	asked.Waiting = waiting
-	return asked
+// placementAt returns the input of the policy at the given time.
+func (request *Request) at(now time.Time, queuedPrefill time.Duration) placement.Request {
+	input := request.Placement
+	input.Left = request.Due.Sub(now)
+	input.Stays = request.Leaves.Sub(now)
+	input.Waiting = queuedPrefill
+	return input
 }
 
-// late reports whether the request's first event can't be in time any more, whatever
-// server it gets now.
+// late reports whether the objective for the first event can no longer be met, whichever server the
+// request gets now.
 func (request *Request) late(now time.Time) bool {
 	return now.Add(request.Least).After(request.Due)
 }
 
-// compareAt orders requests for the moment now: those that can still be in time before
-// those that can't; tight ones first, since one of them takes a small part of one server
-// and its objective is the shortest; then by when their first event is due. Where more
-// tight ones come than are served, those due last go first: each of the others is given a
-// place in the last moment in which it may be in time, and is late by any error.
+// compareAt orders requests by priority at the given time. First come those that can still meet
+// their objective. Among these, packable ones come first, since each takes a small share of one
+// server and has the shortest objective. Then requests are ordered by when their first event is
+// due. While a service is overloaded with packable requests, those due last go first: otherwise
+// each request would be placed at the last moment at which it can meet its objective, and any error
+// would make it late.
 func compareAt(now time.Time, overloaded func(service string) bool) func(a, b *Request) int {
 	return func(a, b *Request) int {
 		return cmp.Or(
@@ -71,8 +72,7 @@
 	}
 }
 
-// compareDue orders requests by when their first event is due, the last one first if
-// reversed.
+// compareDeadline orders requests by when their first event is due, latest first if reversed.
 func compareDue(a, b *Request, reversed bool) int {
 	if reversed {
 		return b.Due.Compare(a.Due)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Verdict is the servers that a request gets.
+// Assignment is a request with the servers assigned to it.
 type Verdict struct {
 	Key
 
