--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/cold_test.go
@@ -12,14 +12,16 @@
 	"github.com/mastwinch/mastwinch/internal/follower"
 )
 
-// Bounds on what reaches a cold server within a second, as the platform has them.
+// Bounds on the requests that reach a cold server within a second, as the platform sets them:
+// coldBurstFactor times the rate, and coldBurst more.
 const (
-	coldTimes = 1.5
-	coldSlack = 5
-	coldFor   = 8 * time.Second
+	coldBurstFactor = 1.5
+	coldBurst       = 5
+	coldDuration    = 8 * time.Second
 )
 
-// setCold lets all VMs hear, within a moment of each other, that a server is cold for so long.
+// setCold makes all VMs learn, within milliseconds of each other, that a server is cold for the
+// given time.
 func (fleet *fleet) setCold(number int, left time.Duration) {
 	server := fleet.servers[number]
 	entry := directory.Entry{ID: server.id, Service: plainName, Address: server.id, Slots: 16, ColdLeft: left}
@@ -32,32 +34,33 @@
 	}
 }
 
-// bearCold lets all VMs know how many requests a second a cold server bears.
-func (fleet *fleet) bearCold(perSecond float64) {
+// setColdRate configures at all VMs the requests per second that a cold server accepts.
+func (fleet *fleet) setColdRate(perSecond float64) {
 	for _, vm := range fleet.vms {
 		vm.pool.Configure([]catalog.Service{{Name: plainName, ColdPerSecond: perSecond}})
 	}
 }
 
-// TestColdServersOverAllVMs has more requests than cold servers bear: from all VMs together none gets more in any second, each
-// gets most of it, and what is beyond that goes to warm ones.
+// TestColdServersOverAllVMs guards against cold servers that get more requests than they accept
+// because each VM counts only its own. With more requests than that, no cold server may exceed its
+// rate in any second over all VMs, each gets most of it, and the excess goes to warm servers.
 func TestColdServersOverAllVMs(t *testing.T) {
-	const perSecond, asked = 4.0, 60.0
+	const perSecond, offeredRate = 4.0, 60.0
 	for name, test := range map[string]struct {
-		cold int
-		then func(fleet *fleet)
-		// used says that cold servers get most of what they bear.
+		cold  int
+		fault func(fleet *fleet)
+		// used reports that cold servers must get most of the requests that they accept.
 		used bool
-		// served is the least part of all requests that are served.
+		// served is the minimum fraction of all requests that are served.
 		served float64
 	}{
-		"one of three":   {cold: 1, served: 1},
-		"all of three":   {cold: 3, used: true, served: 0.15},
-		"cold once more": {cold: 3, used: true, served: 0.15, then: func(fleet *fleet) { fleet.setCold(0, coldFor) }},
-		"who decides is killed": {cold: 3, used: true, served: 0.15, then: func(fleet *fleet) {
-			fleet.decider().kill()
+		"one of three is cold":        {cold: 1, served: 1},
+		"all three are cold":          {cold: 3, used: true, served: 0.15},
+		"a server becomes cold again": {cold: 3, used: true, served: 0.15, fault: func(fleet *fleet) { fleet.setCold(0, coldDuration) }},
+		"the coordinator is killed": {cold: 3, used: true, served: 0.15, fault: func(fleet *fleet) {
+			fleet.coordinatorVM().kill()
 		}},
-		"and limited": {cold: 3, served: 0.05, then: func(fleet *fleet) {
+		"cold and rate-limited": {cold: 3, served: 0.05, fault: func(fleet *fleet) {
 			for _, server := range fleet.servers {
 				server.setLimit(1.5)
 			}
@@ -66,56 +69,57 @@
 		for _, vms := range []int{6, 76, 295} {
 			t.Run(fmt.Sprintf("%s, %d VMs", name, vms), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, vms, 3, func(fleet *fleet) {
-					fleet.bearCold(perSecond)
+				runFleet(t, vms, 3, func(fleet *fleet) {
+					fleet.setColdRate(perSecond)
 					for number := range test.cold {
-						fleet.setCold(number, coldFor)
+						fleet.setCold(number, coldDuration)
 					}
-					time.Sleep(time.Second) // all VMs heard it
+					time.Sleep(time.Second) // all VMs have the update
 					began := time.Now()
-					if test.then != nil {
-						time.AfterFunc(2*time.Second, func() { test.then(fleet) })
+					if test.fault != nil {
+						time.AfterFunc(2*time.Second, func() { test.fault(fleet) })
 					}
-					const long = coldFor - 2*time.Second
-					fleet.play(asked, long)
-					least := 0.0
+					const duration = coldDuration - 2*time.Second
+					fleet.sendTraffic(offeredRate, duration)
+					minCount := 0.0
 					if test.used {
-						least = 0.8 * perSecond * long.Seconds()
+						minCount = 0.8 * perSecond * duration.Seconds()
 					}
-					fleet.assertColdGot(test.cold, coldTimes*perSecond+coldSlack, least, began)
+					fleet.assertColdRate(test.cold, coldBurstFactor*perSecond+coldBurst, minCount, began)
 					served := float64(fleet.served()) / float64(len(fleet.results))
 					assert.Check(t, served >= test.served, "%.2f served", served)
-					fleet.assertWarmAgain(asked)
+					fleet.assertFullRateAfterCold(offeredRate)
 				})
 			})
 		}
 	}
 }
 
-// assertColdGot checks that each of the first servers got at most so many requests in any second, and at least so many from
-// a moment on.
-func (fleet *fleet) assertColdGot(cold int, most, least float64, from time.Time) {
+// assertColdRate checks that each of the first servers got at most maxCount requests in any second,
+// and at least the given number since a point in time.
+func (fleet *fleet) assertColdRate(cold int, maxCount, minCount float64, from time.Time) {
 	for number, server := range fleet.servers[:cold] {
-		got := server.most(time.Second)
-		assert.Check(fleet.t, float64(got) <= most, "server %d got %d in a second", number, got)
-		used := server.within(from, time.Now())
-		assert.Check(fleet.t, float64(used) >= least, "server %d got %d", number, used)
+		got := server.maxCount(time.Second)
+		assert.Check(fleet.t, float64(got) <= maxCount, "server %d got %d in a second", number, got)
+		count := server.within(from, time.Now())
+		assert.Check(fleet.t, float64(count) >= minCount, "server %d got %d", number, count)
 	}
 }
 
-// assertWarmAgain checks that servers which were cold, and name nothing, get as much as ever once that is over.
-func (fleet *fleet) assertWarmAgain(asked float64) {
+// assertFullRateAfterCold checks that servers that were cold, and advertise no limit, get all
+// requests once the cold period is over.
+func (fleet *fleet) assertFullRateAfterCold(offeredRate float64) {
 	for _, server := range fleet.servers {
 		server.setLimit(-1)
 	}
-	time.Sleep(coldFor)
-	fleet.play(asked, 3*time.Second) // lifts limits
+	time.Sleep(coldDuration)
+	fleet.sendTraffic(offeredRate, 3*time.Second) // responses without a limit lift the earlier limits
 	fleet.results = nil
-	fleet.play(asked, time.Second)
+	fleet.sendTraffic(offeredRate, time.Second)
 	assert.Check(fleet.t, fleet.served() == len(fleet.results), "%d of %d", fleet.served(), len(fleet.results))
 }
 
-// served counts the requests that were served.
+// served returns the number of served requests.
 func (fleet *fleet) served() int {
 	count := 0
 	for _, result := range fleet.results {
@@ -126,13 +130,14 @@
 	return count
 }
 
-// most returns the most requests that reached a server within a time.
-func (plainserver *plainServer) most(within time.Duration) int {
+// maxCount returns the maximum number of requests that reached a server within any window of the
+// given length.
+func (plainserver *plainServer) maxCount(within time.Duration) int {
 	plainserver.mu.Lock()
 	defer plainserver.mu.Unlock()
-	moments := make([]time.Time, 0, len(plainserver.arrivals))
+	times := make([]time.Time, 0, len(plainserver.arrivals))
 	for _, arrival := range plainserver.arrivals {
-		moments = append(moments, arrival.at)
+		times = append(times, arrival.at)
 	}
-	return busiestWithin(moments, within)
+	return busiestWithin(times, within)
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,11 +1,10 @@
-// Package coordinator lets one VM decide for many which servers their requests get. It
-// carries asks and answers, and keeps time and locks; what is decided is in package
-// dispatch.
+// Package coordinator lets one VM, the coordinator, assign servers to the requests of many VMs. It
+// handles messages, timers and locks; package dispatch makes the decisions.
 //
-// Any VM can decide. All VMs rank the others alike and ask the first that answers; what
-// is under way is told to the next ones too, so that they can go on at once. Two that
-// decide at the same time, because VMs disagree about who is there, take the same servers
-// now and then, and nothing worse.
+// Any VM can be the coordinator. All VMs rank the others in the same order and use the first one
+// that responds. Requests in flight are reported to the next VMs in the order too, so that one of
+// these can take over at once. Two VMs may act as coordinator at the same time while VMs disagree
+// about which ones are up. The only effect is that they sometimes assign the same servers.
 package coordinator
 
 import (
@@ -17,41 +16,47 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// Network carries asks and answers to other VMs. What is lost is asked again.
+// Network carries requests and responses to other VMs. Messages may be lost; requests are repeated.
 type Network interface {
-	// Coordinators returns the VMs that may be asked, the best one first. This VM may be
-	// among them.
+	// Coordinators returns the VMs that can be the coordinator, the preferred one first. This VM
+	// may be among them.
 	Coordinators() []string
-	// Doubt notes that a VM did not answer.
+	// ReportUnresponsive records that a VM did not respond.
 	Doubt(vm string)
-	Ask(vm string, ask dispatch.Ask)
-	Answer(vm string, answer dispatch.Answer)
+	// Ask sends a request for servers to a VM.
+	Ask(vm string, request dispatch.Ask)
+	// Answer sends a response to a VM.
+	Answer(vm string, response dispatch.Answer)
 }
 
-// Servers is what this VM believes of the servers.
+// Servers gives access to the state of the backend servers as known to this VM. It is safe for
+// concurrent use. Methods without a comment work like those of dispatch.Servers.
 type Servers interface {
 	Open(service *catalog.Service, tried []string) []placement.Server
 	Resting(vm string) []string
-	TakesPerSecond(service string, keptTo []string, vm string) (float64, bool)
-	AllEvacuated(service string, keptTo []string) bool
+	TakesPerSecond(service string, allowedDataCentres []string, vm string) (float64, bool)
+	AllEvacuated(service string, allowedDataCentres []string) bool
+	// Assign records that the servers of a plan are assigned to a request of a VM.
 	Assign(vm string, id uint64, plan placement.Plan, request placement.Request)
+	// Withdraw removes an assigned request that is not sent.
 	Withdraw(vm string, id uint64)
+	// Changed returns a channel that is closed when a server may have free capacity again.
 	Changed() <-chan struct{}
 }
 
-// Retries grants that requests go to servers once more, over all VMs that ask.
+// RetryBudget limits retries over all VMs that use this coordinator.
 type Retries interface {
-	// Earn notes a request for a service.
+	// Earn adds what one request to a service earns.
 	Earn(service string)
-	// Spend takes a grant, if there is one.
+	// Spend takes one retry from the budget of a service. It reports false if none is left.
 	Spend(service string) bool
 }
 
-// Services finds a service in the configuration in force.
+// Services returns a service of the active configuration by name, and whether it exists.
 type Services func(name string) (*catalog.Service, bool)
 
-// Coordinator is this VM's part: it asks for its own requests, and decides for those of
-// others when it is asked.
+// Coordinator requests servers for the client requests of its VM, and assigns servers to requests
+// of all VMs while this VM is the coordinator. It is safe for concurrent use.
 type Coordinator struct {
 	settings Settings
 	vm       string
@@ -61,38 +66,41 @@
 	network  Network
 	now      func() time.Time
 
+	// decideMu guards queue, lastRequested and decision.
 	deciding sync.Mutex
 	queue    *dispatch.Queue
-	// renewed has when each request that waits was asked for last.
+	// renewed has the time of the last message for each queued request.
 	renewed map[dispatch.Key]time.Time
-	// given has what was decided lately.
+	// decision has the recent decisions by key, so that they can be sent again when a response was
+	// lost.
 	given map[dispatch.Key]given
-	// wake has an element when something waits.
+	// queued has an element after a request was queued.
 	wake chan struct{}
 
+	// pendingMu guards pending and responseTime.
 	asking sync.Mutex
-	// open has the asks of this VM that are not over.
+	// pending has the response channel of each request of this VM that is not decided yet, by ID.
 	open map[uint64]chan addressed
-	// took is how long answers took lately.
+	// responseTime is the moving average of response times.
 	took time.Duration
 }
 
-// given is a decision.
+// decision is a response with the time at which it was decided.
 type given struct {
 	answer dispatch.Answer
 	at     time.Time
 }
 
-// addressed is an answer and the VM that it comes from or goes to.
+// peerResponse is a response with the VM that it comes from or goes to.
 type addressed struct {
 	dispatch.Answer
 
 	vm string
 }
 
-// New returns the part of the VM with that name.
+// New returns the coordinator of the VM with the given name. The function now is its clock.
 func New(
-	settings Settings, vm string, policy placement.Policy, servers Servers, services Services, retries Retries,
+	settings Settings, vm string, policy placement.Policy, servers Servers, services Services, retryBudget Retries,
 	network Network, now func() time.Time,
 ) *Coordinator {
 	return &Coordinator{
@@ -100,7 +108,7 @@
 		vm:       vm,
 		servers:  servers,
 		services: services,
-		retries:  retries,
+		retries:  retryBudget,
 		network:  network,
 		now:      now,
 		queue:    dispatch.New(policy),
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -11,97 +11,100 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Asked takes asks of a VM, and answers them.
-func (coordinator *Coordinator) Asked(vm string, asks []dispatch.Ask) {
-	for _, ask := range asks {
-		if ask.Withdrawn {
-			coordinator.withdraw(dispatch.Key{VM: vm, ID: ask.ID})
+// HandleRequests handles requests of a VM for servers, and responds to them.
+func (coordinator *Coordinator) Asked(vm string, assignmentRequests []dispatch.Ask) {
+	for _, assignmentRequest := range assignmentRequests {
+		if assignmentRequest.Withdrawn {
+			coordinator.withdraw(dispatch.Key{VM: vm, ID: assignmentRequest.ID})
 			continue
 		}
-		coordinator.answer(vm, coordinator.decide(vm, ask))
+		coordinator.answer(vm, coordinator.decide(vm, assignmentRequest))
 	}
 }
 
-// decide returns the answer to an ask.
-func (coordinator *Coordinator) decide(vm string, ask dispatch.Ask) dispatch.Answer {
+// decide returns the response to a request: the earlier one if the request has been decided
+// already.
+func (coordinator *Coordinator) decide(vm string, assignmentRequest dispatch.Ask) dispatch.Answer {
 	coordinator.deciding.Lock()
 	defer coordinator.deciding.Unlock()
-	key := dispatch.Key{VM: vm, ID: ask.ID}
+	key := dispatch.Key{VM: vm, ID: assignmentRequest.ID}
 	now := coordinator.now()
-	if given, known := coordinator.given[key]; known {
-		return given.answer
+	if decision, found := coordinator.given[key]; found {
+		return decision.answer
 	}
-	service, known := coordinator.services(ask.Service)
-	if !known {
-		return dispatch.Answer{ID: ask.ID, Decision: dispatch.DecisionUnknown}
+	service, found := coordinator.services(assignmentRequest.Service)
+	if !found {
+		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionUnknown}
 	}
 	request := &dispatch.Request{
-		Key: key, Service: ask.Service, Tried: ask.Tried, KeptTo: ask.KeptTo,
-		Due: now.Add(ask.Due), Leaves: now.Add(ask.Stays),
+		Key: key, Service: assignmentRequest.Service, Tried: assignmentRequest.Tried, KeptTo: assignmentRequest.KeptTo,
+		Due: now.Add(assignmentRequest.Due), Leaves: now.Add(assignmentRequest.Stays),
 		Placement: placement.Request{
-			DataCentre: ask.DataCentre, Engine: service.Engine, Tokens: ask.Tokens, Memory: ask.Memory,
-			Gap: ask.Gap, ShortestGap: service.ShortestGap, Objective: ask.Objective,
-			// A VM keeps to the same servers where they are equal, so that fewer new connections are opened.
+			DataCentre: assignmentRequest.DataCentre, Engine: service.Engine, Tokens: assignmentRequest.Tokens, Memory: assignmentRequest.Memory,
+			Gap: assignmentRequest.Gap, ShortestGap: service.ShortestGap, Objective: assignmentRequest.Objective,
+			// A fixed seed per VM selects the same servers among equal ones, so that fewer new
+			// connections are opened.
 			Seed: xxhash.Sum64String(vm),
 		},
 	}
 	request.Tight = service.Engine == nil || request.Placement.Tight()
 	if service.Engine != nil {
-		request.Work = service.Engine.ReadTime(ask.Tokens)
+		request.Work = service.Engine.ReadTime(assignmentRequest.Tokens)
 		request.Least = request.Placement.Least()
 	}
-	_, known = coordinator.renewed[key]
+	_, found = coordinator.renewed[key]
 	coordinator.renewed[key] = now
-	if !known && !coordinator.grants(ask) {
+	if !found && !coordinator.grants(assignmentRequest) {
 		return coordinator.refuse(dispatch.Refusal{Key: key}, now)
 	}
-	if waits := coordinator.queue.Find(key); waits != nil {
-		*waits = *request
-		return dispatch.Answer{ID: ask.ID, Decision: dispatch.DecisionHeld}
+	if queued := coordinator.queue.Find(key); queued != nil {
+		*queued = *request
+		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionHeld}
 	}
-	verdict, placed := coordinator.queue.Offer(request, (*view)(coordinator), now)
+	assignment, placed := coordinator.queue.Offer(request, (*adapter)(coordinator), now)
 	if !placed {
 		coordinator.awake()
-		return dispatch.Answer{ID: ask.ID, Decision: dispatch.DecisionHeld}
+		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionHeld}
 	}
-	return coordinator.give(verdict, now)
+	return coordinator.give(assignment, now)
 }
 
-// grants reports whether a request may go to servers: each may once, and again as far as retries are granted. One VM of
-// many has no whole retry of what all may have together.
-func (coordinator *Coordinator) grants(ask dispatch.Ask) bool {
-	if ask.Again {
-		return coordinator.retries.Spend(ask.Service)
+// allowAttempt reports whether a client request may go to servers: the first attempt always may,
+// further ones are subject to the retry budget. The budget is kept here for all VMs, since with
+// many VMs the share of each one is less than one retry.
+func (coordinator *Coordinator) grants(assignmentRequest dispatch.Ask) bool {
+	if assignmentRequest.Again {
+		return coordinator.retries.Spend(assignmentRequest.Service)
 	}
-	if !ask.Counted {
-		coordinator.retries.Earn(ask.Service)
+	if !assignmentRequest.Counted {
+		coordinator.retries.Earn(assignmentRequest.Service)
 	}
 	return true
 }
 
-// give notes a decision, and returns the answer that tells it.
-func (coordinator *Coordinator) give(verdict dispatch.Verdict, now time.Time) dispatch.Answer {
-	answer := verdict.Placed()
-	delete(coordinator.renewed, verdict.Key)
-	coordinator.given[verdict.Key] = given{answer: answer, at: now}
-	return answer
+// recordAssignment records an assignment, and returns the response for it.
+func (coordinator *Coordinator) give(assignment dispatch.Verdict, now time.Time) dispatch.Answer {
+	response := assignment.Placed()
+	delete(coordinator.renewed, assignment.Key)
+	coordinator.given[assignment.Key] = given{answer: response, at: now}
+	return response
 }
 
-// refuse notes that a request is refused, and returns the answer that tells it.
+// recordRefusal records a refusal, and returns the response for it.
 func (coordinator *Coordinator) refuse(refusal dispatch.Refusal, now time.Time) dispatch.Answer {
-	answer := dispatch.Answer{ID: refusal.ID, Decision: dispatch.DecisionRefused, Return: refusal.Return}
+	response := dispatch.Answer{ID: refusal.ID, Decision: dispatch.DecisionRefused, Return: refusal.Return}
 	delete(coordinator.renewed, refusal.Key)
-	coordinator.given[refusal.Key] = given{answer: answer, at: now}
-	return answer
+	coordinator.given[refusal.Key] = given{answer: response, at: now}
+	return response
 }
 
-// answer sends an answer to the VM that asked.
-func (coordinator *Coordinator) answer(vm string, answer dispatch.Answer) {
+// sendResponse sends a response to the VM that sent the request.
+func (coordinator *Coordinator) answer(vm string, response dispatch.Answer) {
 	if vm == coordinator.vm {
-		coordinator.Answered(vm, []dispatch.Answer{answer})
+		coordinator.Answered(vm, []dispatch.Answer{response})
 		return
 	}
-	coordinator.network.Answer(vm, answer)
+	coordinator.network.Answer(vm, response)
 }
 
 func (coordinator *Coordinator) withdraw(key dispatch.Key) {
@@ -122,21 +125,21 @@
 	}
 }
 
-// Run gives servers to requests that wait, until ctx is done.
+// Run assigns servers to queued requests until ctx is done.
 func (coordinator *Coordinator) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := coordinator.servers.Changed()
 		started := coordinator.now()
 		waiting := coordinator.pass(started)
-		rest := time.Duration(coordinator.settings.RestTimes * float64(coordinator.now().Sub(started)))
-		if !wait.For(ctx, max(coordinator.settings.Pause, rest)) {
+		pause := time.Duration(coordinator.settings.RestTimes * float64(coordinator.now().Sub(started)))
+		if !wait.For(ctx, max(coordinator.settings.Pause, pause)) {
 			return
 		}
 		coordinator.sleep(ctx, changed, waiting)
 	}
 }
 
-// sleep waits until there may be something to decide.
+// waitForChange waits until there may be a decision to make.
 func (coordinator *Coordinator) sleep(ctx context.Context, changed <-chan struct{}, waiting bool) {
 	if !waiting {
 		select {
@@ -146,27 +149,27 @@
 		}
 		return
 	}
-	look := time.NewTimer(coordinator.settings.Look)
-	defer look.Stop()
+	timer := time.NewTimer(coordinator.settings.Look)
+	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-look.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// pass looks at all that waits, tells what was decided, and reports whether something
-// still waits.
+// dispatchQueued decides what it can for the queued requests, sends the responses, and reports
+// whether requests are still queued.
 func (coordinator *Coordinator) pass(now time.Time) bool {
-	answers, waiting := coordinator.decideWaiting(now)
-	for _, answer := range answers {
-		coordinator.answer(answer.vm, answer.Answer)
+	responses, waiting := coordinator.decideWaiting(now)
+	for _, response := range responses {
+		coordinator.answer(response.vm, response.Answer)
 	}
 	return waiting
 }
 
-// decideWaiting returns the answers to those that got servers, each with the VM that it
-// goes to, and whether others still wait.
+// decideQueued returns the responses to queued requests that are decided now, and whether requests
+// are still queued.
 func (coordinator *Coordinator) decideWaiting(now time.Time) ([]addressed, bool) {
 	coordinator.deciding.Lock()
 	defer coordinator.deciding.Unlock()
@@ -174,18 +177,18 @@
 	if coordinator.queue.Len() == 0 {
 		return nil, false
 	}
-	var answers []addressed
-	verdicts, refused := coordinator.queue.Pass((*view)(coordinator), now)
-	for _, verdict := range verdicts {
-		answers = append(answers, addressed{Answer: coordinator.give(verdict, now), vm: verdict.VM})
+	var responses []addressed
+	assignments, refused := coordinator.queue.Pass((*adapter)(coordinator), now)
+	for _, assignment := range assignments {
+		responses = append(responses, addressed{Answer: coordinator.give(assignment, now), vm: assignment.VM})
 	}
 	for _, refusal := range refused {
-		answers = append(answers, addressed{Answer: coordinator.refuse(refusal, now), vm: refusal.VM})
+		responses = append(responses, addressed{Answer: coordinator.refuse(refusal, now), vm: refusal.VM})
 	}
-	return answers, coordinator.queue.Len() > 0
+	return responses, coordinator.queue.Len() > 0
 }
 
-// lapse drops requests whose VMs are silent, and decisions of long ago.
+// expire drops queued requests whose VMs have sent no message for a while, and old decisions.
 func (coordinator *Coordinator) lapse(now time.Time) {
 	coordinator.queue.DropWhere(func(request *dispatch.Request) bool {
 		if now.Sub(coordinator.renewed[request.Key]) <= coordinator.settings.Lapse {
@@ -194,43 +197,43 @@
 		delete(coordinator.renewed, request.Key)
 		return true
 	})
-	for key, given := range coordinator.given {
-		if now.Sub(given.at) > coordinator.settings.Remember {
+	for key, decision := range coordinator.given {
+		if now.Sub(decision.at) > coordinator.settings.Remember {
 			delete(coordinator.given, key)
 		}
 	}
 }
 
-// view is what is believed of the servers, as decisions see it.
-type view Coordinator
+// adapter adapts a Coordinator to dispatch.Servers, for use by its queue.
+type adapter Coordinator
 
-var _ dispatch.Servers = (*view)(nil)
+var _ dispatch.Servers = (*adapter)(nil)
 
 // Open implements dispatch.Servers.
-func (view *view) Open(service string) []placement.Server {
-	known, found := view.services(service)
+func (adapter *adapter) Open(service string) []placement.Server {
+	catalogService, found := adapter.services(service)
 	if !found {
 		return nil
 	}
-	return view.servers.Open(known, nil)
+	return adapter.servers.Open(catalogService, nil)
 }
 
 // Resting implements dispatch.Servers.
-func (view *view) Resting(vm string) []string {
-	return view.servers.Resting(vm)
+func (adapter *adapter) Resting(vm string) []string {
+	return adapter.servers.Resting(vm)
 }
 
 // TakesPerSecond implements dispatch.Servers.
-func (view *view) TakesPerSecond(request *dispatch.Request) (float64, bool) {
-	return view.servers.TakesPerSecond(request.Service, request.KeptTo, request.VM)
+func (adapter *adapter) TakesPerSecond(request *dispatch.Request) (float64, bool) {
+	return adapter.servers.TakesPerSecond(request.Service, request.KeptTo, request.VM)
 }
 
 // AllEvacuated implements dispatch.Servers.
-func (view *view) AllEvacuated(request *dispatch.Request) bool {
-	return view.servers.AllEvacuated(request.Service, request.KeptTo)
+func (adapter *adapter) AllEvacuated(request *dispatch.Request) bool {
+	return adapter.servers.AllEvacuated(request.Service, request.KeptTo)
 }
 
 // Take implements dispatch.Servers.
-func (view *view) Take(request *dispatch.Request, plan placement.Plan) {
-	view.servers.Assign(request.VM, request.ID, plan, request.Placement)
+func (adapter *adapter) Take(request *dispatch.Request, plan placement.Plan) {
+	adapter.servers.Assign(request.VM, request.ID, plan, request.Placement)
 }
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -25,7 +25,8 @@
 
 const plainName = "plain"
 
-// fleet is VMs that tell each other by datagrams, each with all that decides for it, before plain servers in virtual time.
+// fleet is a number of VMs in front of plain servers, in virtual time. Each VM has a real exchange,
+// pool and coordinator, and they communicate by datagrams over a network in memory.
 type fleet struct {
 	t        *testing.T
 	network  *memnet.Network
@@ -40,7 +41,7 @@
 	results []result
 }
 
-// result is what became of a request.
+// result is the outcome of a request.
 type result struct {
 	arrived time.Time
 	took    time.Duration
@@ -48,8 +49,9 @@
 	refused bool
 }
 
-// inFleet runs a test in virtual time with so many VMs that have found each other, and plain servers.
-func inFleet(t *testing.T, vms, servers int, test func(fleet *fleet)) {
+// runFleet runs a test in virtual time with the given numbers of VMs and plain servers, after the
+// VMs have discovered each other.
+func runFleet(t *testing.T, vms, servers int, test func(fleet *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{
@@ -58,7 +60,7 @@
 		}
 		for number := range servers {
 			fleet.servers = append(fleet.servers, &plainServer{
-				id: fmt.Sprintf("plain-%d", number), takes: 30 * time.Millisecond, limit: -1, toldAt: make(map[string]time.Time),
+				id: fmt.Sprintf("plain-%d", number), serviceTime: 30 * time.Millisecond, limit: -1, advertisedAt: make(map[string]time.Time),
 			})
 		}
 		for number := range vms {
@@ -72,7 +74,7 @@
 
 func (fleet *fleet) end() {
 	for _, vm := range fleet.vms {
-		vm.wake()
+		vm.resume()
 		vm.stop()
 	}
 	synctest.Wait()
@@ -83,12 +85,12 @@
 	return fmt.Sprintf("10.0.%d.%d:7340", number/perNet, number%perNet+1)
 }
 
-// add starts a VM, in place of the one with that number if there is one.
+// add starts a VM. It replaces the VM with that number if there is one.
 func (fleet *fleet) add(number int) {
-	inner, err := fleet.network.ListenPacket(context.Background(), fleetAddress(number))
+	packetConn, err := fleet.network.ListenPacket(context.Background(), fleetAddress(number))
 	assert.NilError(fleet.t, err)
 	vm := &fleetVM{
-		fleet: fleet, name: fmt.Sprintf("vm-%03d", number), conn: &strikableConn{PacketConn: inner},
+		fleet: fleet, name: fmt.Sprintf("vm-%03d", number), conn: &faultyConn{PacketConn: packetConn},
 		policy: placement.New(placement.DefaultSettings()),
 	}
 	logger := slog.New(slog.DiscardHandler)
@@ -105,7 +107,7 @@
 	}
 	vm.pool.Replace(entries)
 	services := func(name string) (*catalog.Service, bool) { return fleet.service, name == plainName }
-	vm.coordinator = coordinator.New(coordinator.DefaultSettings(), vm.name, vm.policy, vm.pool, services, anyRetries{}, vm.exchange, time.Now)
+	vm.coordinator = coordinator.New(coordinator.DefaultSettings(), vm.name, vm.policy, vm.pool, services, unlimitedRetries{}, vm.exchange, time.Now)
 	ctx, stop := context.WithCancel(context.Background())
 	vm.stop = stop
 	go func() { _ = vm.exchange.Run(ctx, vm) }()
@@ -113,15 +115,15 @@
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if number < len(fleet.vms) {
-		vm.struck = true
+		vm.disrupted = true
 		fleet.vms[number] = vm
 		return
 	}
 	fleet.vms = append(fleet.vms, vm)
 }
 
-// decider returns the VM that decides for all.
-func (fleet *fleet) decider() *fleetVM {
+// coordinatorVM returns the VM that is the coordinator, in the view of the last VM.
+func (fleet *fleet) coordinatorVM() *fleetVM {
 	first := fleet.vms[len(fleet.vms)-1].exchange.Coordinators()[0]
 	for _, vm := range fleet.vms {
 		if vm.name == first {
@@ -131,26 +133,27 @@
 	return nil
 }
 
-// play lets callers come evenly to VMs drawn at random, for so long.
-func (fleet *fleet) play(perSecond float64, long time.Duration) {
-	var asking sync.WaitGroup
+// sendTraffic sends requests at a constant rate to VMs chosen at random, and waits for their
+// results.
+func (fleet *fleet) sendTraffic(perSecond float64, duration time.Duration) {
+	var requests sync.WaitGroup
 	pause := time.Duration(float64(time.Second) / perSecond)
-	for range int(long / pause) {
+	for range int(duration / pause) {
 		fleet.mu.Lock()
 		vm := fleet.vms[fleet.random.IntN(len(fleet.vms))]
 		fleet.mu.Unlock()
 		vm.mu.Lock()
-		away := vm.away
+		offline := vm.offline
 		vm.mu.Unlock()
-		if !away {
-			asking.Go(func() { fleet.note(vm.run()) })
+		if !offline {
+			requests.Go(func() { fleet.record(vm.run()) })
 		}
 		time.Sleep(pause)
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
-func (fleet *fleet) note(result result) {
+func (fleet *fleet) record(result result) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.results = append(fleet.results, result)
--- a/internal/coordinator/fleetregister_test.go
+++ b/internal/coordinator/fleetregister_test.go
@@ -7,7 +7,7 @@
 	"github.com/mastwinch/mastwinch/internal/exchange"
 )
 
-// fleetRegister is a register in memory.
+// fleetRegister implements exchange.Register in memory.
 type fleetRegister struct {
 	mu      sync.Mutex
 	members map[string]exchange.Member
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -15,11 +15,11 @@
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 )
 
-// fleetVM is one VM.
+// fleetVM is one VM of a fleet.
 type fleetVM struct {
 	fleet       *fleet
 	name        string
-	conn        *strikableConn
+	conn        *faultyConn
 	pool        *pool.Pool
 	exchange    *exchange.Exchange
 	coordinator *coordinator.Coordinator
@@ -27,9 +27,10 @@
 	stop        context.CancelFunc
 
 	mu sync.Mutex
-	// away says that no callers come to it, and struck that it was cut, frozen or started.
-	away   bool
-	struck bool
+	// offline reports that the VM gets no requests, and disrupted that it was disconnected, frozen
+	// or restarted.
+	offline   bool
+	disrupted bool
 }
 
 var _ exchange.Sink = (*fleetVM)(nil)
@@ -43,11 +44,11 @@
 }
 
 // Asked implements exchange.Sink.
-func (vm *fleetVM) Asked(name string, asks []dispatch.Ask) { vm.coordinator.Asked(name, asks) }
+func (vm *fleetVM) Asked(name string, requests []dispatch.Ask) { vm.coordinator.Asked(name, requests) }
 
 // Answered implements exchange.Sink.
-func (vm *fleetVM) Answered(name string, answers []dispatch.Answer) {
-	vm.coordinator.Answered(name, answers)
+func (vm *fleetVM) Answered(name string, responses []dispatch.Answer) {
+	vm.coordinator.Answered(name, responses)
 }
 
 // Quarantined implements exchange.Sink.
@@ -59,14 +60,14 @@
 // Blind implements exchange.Sink.
 func (*fleetVM) Blind() bool { return false }
 
-// Times of a request to a plain server.
+// Timeouts and network delay of a request to a plain server.
 const (
 	plainObjective = 300 * time.Millisecond
 	plainDeadline  = 2 * time.Second
 	plainNetwork   = time.Millisecond
 )
 
-// run plays one request.
+// run sends one request to the VM and returns its outcome.
 func (vm *fleetVM) run() result {
 	arrived := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), plainDeadline)
@@ -81,26 +82,26 @@
 	return got
 }
 
-// place returns the server that a request gets, if it gets one.
+// place returns the server that the request is assigned to, or a nil use if it gets none.
 func (vm *fleetVM) place(ctx context.Context, got *result) (string, *pool.Use) {
 	arrived := got.arrived
 	for ctx.Err() == nil {
 		id := vm.pool.ReserveID()
-		answer, placed := vm.coordinator.Place(ctx, id, func() dispatch.Ask {
-			spent := time.Since(arrived)
+		response, placed := vm.coordinator.Place(ctx, id, func() dispatch.Ask {
+			elapsed := time.Since(arrived)
 			return dispatch.Ask{
 				ID: id, Service: plainName, Objective: plainObjective,
-				Due: plainObjective - spent, Stays: plainDeadline - spent, DataCentre: "north",
+				Due: plainObjective - elapsed, Stays: plainDeadline - elapsed, DataCentre: "north",
 			}
 		})
-		if placed && answer.Decision == dispatch.DecisionRefused {
+		if placed && response.Decision == dispatch.DecisionRefused {
 			got.refused = true
 			return "", nil
 		}
 		if placed {
-			servers, missing := vm.pool.Find(plainName, nil, answer.Servers)
+			servers, missing := vm.pool.Find(plainName, nil, response.Servers)
 			assert.Check(vm.fleet.t, len(missing) == 0)
-			if answer.Limited {
+			if response.Limited {
 				vm.pool.WatchLimit(servers[0].ID)
 			}
 			return servers[0].ID, vm.pool.StartAs(id, placement.Plan{Server: servers[0]}, placement.Request{})
@@ -116,22 +117,22 @@
 	return "", nil
 }
 
-// send lets a server serve, and hears what it says.
+// send sends the request to a server, and passes the limit in the response to the pool.
 func (vm *fleetVM) send(id string, use *pool.Use) {
-	asked := time.Now()
+	sentAt := time.Now()
 	time.Sleep(plainNetwork)
 	var limit float64
-	var names bool
+	var advertises bool
 	for _, server := range vm.fleet.servers {
 		if server.id == id {
-			limit, names = server.serve(vm.name)
+			limit, advertises = server.serve(vm.name)
 		}
 	}
 	time.Sleep(plainNetwork)
-	if names {
+	if advertises {
 		vm.pool.Limits(id, limit)
 	} else {
-		vm.pool.LiftsLimit(id, asked)
+		vm.pool.LiftsLimit(id, sentAt)
 	}
 	use.Over()
 }
--- a/internal/coordinator/plainserver_test.go
+++ b/internal/coordinator/plainserver_test.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// plainServer is a server that works on any number of requests for a time each, and says what it wants to.
+// plainServer is a server that serves any number of requests concurrently, each in the same time,
+// and may advertise a limit.
 type plainServer struct {
-	id    string
-	takes time.Duration
+	id          string
+	serviceTime time.Duration
 
 	mu sync.Mutex
-	// limit is what it names in its answers, or below zero for none. Of each so many answers one names it.
-	limit   float64
-	oneOf   int
-	answers int
-	// arrivals has what reached it.
+	// limit is the limit that the server advertises in its responses, or negative for none. One of
+	// advertiseEvery responses has it.
+	limit          float64
+	advertiseEvery int
+	answers        int
+	// arrivals has the requests that reached the server.
 	arrivals []arrival
-	// toldAt has when an answer that names a limit first reached each VM.
-	toldAt map[string]time.Time
+	// advertisedAt has the time at which each VM first got a response with a limit.
+	advertisedAt map[string]time.Time
 }
 
-// arrival is a request at a server.
+// arrival is the arrival of a request at a server.
 type arrival struct {
 	vm string
 	at time.Time
@@ -33,23 +35,24 @@
 	plainserver.limit = limit
 }
 
-// serve works on a request, and returns what its answer names.
+// serve serves a request, and returns the limit that the response advertises, and whether it
+// advertises one.
 func (plainserver *plainServer) serve(vm string) (float64, bool) {
 	plainserver.mu.Lock()
 	plainserver.arrivals = append(plainserver.arrivals, arrival{vm: vm, at: time.Now()})
 	plainserver.mu.Unlock()
-	time.Sleep(plainserver.takes)
+	time.Sleep(plainserver.serviceTime)
 	plainserver.mu.Lock()
 	defer plainserver.mu.Unlock()
 	plainserver.answers++
-	names := plainserver.limit >= 0 && plainserver.answers%max(1, plainserver.oneOf) == 0
-	if _, told := plainserver.toldAt[vm]; names && !told {
-		plainserver.toldAt[vm] = time.Now()
+	advertises := plainserver.limit >= 0 && plainserver.answers%max(1, plainserver.advertiseEvery) == 0
+	if _, advertised := plainserver.advertisedAt[vm]; advertises && !advertised {
+		plainserver.advertisedAt[vm] = time.Now()
 	}
-	return plainserver.limit, names
+	return plainserver.limit, advertises
 }
 
-// within returns how many requests reached a server in a span.
+// within returns the number of requests that reached a server from one time to another.
 func (plainserver *plainServer) within(from, to time.Time) int {
 	plainserver.mu.Lock()
 	defer plainserver.mu.Unlock()
@@ -62,50 +65,54 @@
 	return count
 }
 
-// busiest returns the most requests that reached a server within any limitWindow from limitNotice after it first named a
-// limit on, of the VMs that it had told of it toldNotice before or earlier.
+// busiest returns the maximum number of requests that reached a server within any limitWindow,
+// starting limitGracePeriod after it first advertised a limit. It counts requests of VMs that got
+// the limit at least vmGracePeriod before.
 func (plainserver *plainServer) busiest() int {
 	plainserver.mu.Lock()
 	defer plainserver.mu.Unlock()
 	var first time.Time
-	for _, at := range plainserver.toldAt {
+	for _, at := range plainserver.advertisedAt {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
 	var counted []time.Time
 	for _, arrival := range plainserver.arrivals {
-		toldAt, told := plainserver.toldAt[arrival.vm]
-		if told && !arrival.at.Before(first.Add(limitNotice)) && !arrival.at.Before(toldAt.Add(toldNotice)) {
+		advertisedAt, advertised := plainserver.advertisedAt[arrival.vm]
+		if advertised && !arrival.at.Before(first.Add(limitGracePeriod)) && !arrival.at.Before(advertisedAt.Add(vmGracePeriod)) {
 			counted = append(counted, arrival.at)
 		}
 	}
 	return busiestWithin(counted, limitWindow)
 }
 
-// busiestWithin returns the most of some moments, which are in order, within a time.
-func busiestWithin(moments []time.Time, within time.Duration) int {
-	most, oldest := 0, 0
-	for last, moment := range moments {
-		for moment.Sub(moments[oldest]) >= within {
+// busiestWithin returns the maximum number of the sorted times that lie within any window of the
+// given length.
+func busiestWithin(times []time.Time, within time.Duration) int {
+	maxCount, oldest := 0, 0
+	for last, arrivedAt := range times {
+		for arrivedAt.Sub(times[oldest]) >= within {
 			oldest++
 		}
-		most = max(most, last-oldest+1)
+		maxCount = max(maxCount, last-oldest+1)
 	}
-	return most
+	return maxCount
 }
 
-// Bounds on what reaches a server that names a limit, as the platform has them.
+// Bounds on the requests that reach a server with a limit, as the platform sets them.
 const (
-	// limitNotice is the time from the first answer that names a limit until it must be heeded.
-	limitNotice = 3 * time.Second
-	// toldNotice is the time from the answer that tells a VM until its requests are counted.
-	toldNotice = 500 * time.Millisecond
-	// limitWindow is the time over which requests are counted.
+	// limitGracePeriod is the time from the first response with a limit until the limit must be
+	// met.
+	limitGracePeriod = 3 * time.Second
+	// vmGracePeriod is the time from a VM's first response with a limit until its requests are
+	// counted.
+	vmGracePeriod = 500 * time.Millisecond
+	// limitWindow is the length of the window over which requests are counted.
 	limitWindow = 4 * time.Second
 )
 
-// allowed is how many requests may reach a server in any limitWindow.
+// allowed returns the number of requests that may reach a server in any limitWindow.
 func allowed(limit float64) int {
 	return int(1.5*limit*limitWindow.Seconds() + 5)
 }
--- a/internal/coordinator/settings.go
+++ b/internal/coordinator/settings.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Settings tune how VMs ask one of them for servers.
+// Settings configure the exchange of requests and responses with the coordinator, and its passes
+// over the queue.
 type Settings struct {
-	// AnswerMin and AnswerMax bound how long an answer may take before the request
-	// is asked for again. Between them it is AnswerTimes as long as answers took
-	// lately, so that a VM whose own processor is late does not blame the other one.
+	// AnswerMin and AnswerMax bound the response timeout, after which the request is repeated.
+	// Between them the timeout is AnswerTimes the average of recent response times, so that a VM
+	// whose own CPU is overloaded does not take the coordinator for unresponsive.
 	AnswerMin   time.Duration `yaml:"answer_min" validate:"min=1ms"`
 	AnswerMax   time.Duration `yaml:"answer_max" validate:"min=1ms,gtefield=AnswerMin"`
 	AnswerTimes float64       `yaml:"answer_times" validate:"min=1"`
-	// AnswerGain is the weight of one answer in what answers took lately.
+	// AnswerGain is the weight of one response in the moving average of response times.
 	AnswerGain float64 `yaml:"answer_gain" validate:"min=0.01,max=1"`
-	// Misses is how many asks in a row may stay unanswered before another VM is
-	// asked. Two, since one datagram in forty is lost on a bad link.
+	// Misses is the number of consecutive requests without a response after which another VM is
+	// used. With 2, a single datagram lost on a bad link (one in forty) does not cause a change.
 	Misses int `yaml:"misses" validate:"min=1"`
-	// Renew is the time between asks for a request that waits: so it learns that
-	// the VM which decides is gone.
+	// Renew is the interval at which a VM repeats a queued request. It detects by this that the
+	// coordinator is down.
 	Renew time.Duration `yaml:"renew" validate:"min=1ms"`
-	// Lapse is after how long without being asked again a request is dropped whose
-	// VM said nothing. It is some times Renew.
+	// Lapse is the time after which the coordinator drops a queued request that its VM does not
+	// repeat. It must be several times Renew.
 	Lapse time.Duration `yaml:"lapse" validate:"min=1ms"`
-	// Remember is for how long a decision is told again when its answer was lost.
+	// Remember is the time for which a decision is kept, to be sent again when the response was
+	// lost.
 	Remember time.Duration `yaml:"remember" validate:"min=1ms"`
-	// Look is the time between looks at what waits when nothing changes, and Pause
-	// the least time between any two.
+	// Look is the interval between passes over the queue while no server state changes, and Pause
+	// the minimum time between any two passes.
 	Look  time.Duration `yaml:"look" validate:"min=1ms"`
 	Pause time.Duration `yaml:"pause" validate:"min=0"`
-	// RestTimes is the multiple of the time that a look at all that waits took for
-	// which there is none: a third of one core at most goes into looks.
+	// RestTimes is the pause after a pass over the queue, as a multiple of its duration. A value of
+	// 2 limits passes to a third of one core.
 	RestTimes float64 `yaml:"rest_times" validate:"min=0"`
 }
 
-// DefaultSettings returns settings for data centres of one city, 3 ms apart both ways.
+// DefaultSettings returns settings for data centres in one city with a round-trip time of 3 ms.
 func DefaultSettings() Settings {
 	return Settings{
 		AnswerMin:   25 * time.Millisecond,
