--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget allows retries in proportion to requests, so that
-// retries do not multiply the load when many fail.
+// Package retrybudget limits retries to a ratio of requests, so that retries do not multiply the
+// load when many requests fail.
 package retrybudget
 
 import (
@@ -7,42 +7,41 @@
 	"time"
 )
 
-// Limits are what a budget allows.
+// Limits configure a Budget.
 type Limits struct {
-	// Ratio is the retries that each request earns.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Burst is the most retries at once.
+	// Burst is the capacity of the budget, in retries.
 	Burst float64
-	// Refill is how long an empty budget takes to be full again without
-	// requests. Zero means that only requests earn.
+	// Refill is the time in which an empty budget is refilled without requests. Zero disables
+	// refilling, so that only requests add to the budget.
 	Refill time.Duration
 }
 
-// Budget is a budget of retries. In any time of length Refill it allows at most
-// twice Burst, and Ratio for each request in it.
+// Budget is a token bucket of retries. In any window of length Refill it allows at most twice
+// Burst, and Ratio for each request in the window. It is safe for concurrent use.
 type Budget struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	limits Limits
-	// tokens is from zero to limits.Burst.
+	// tokens is the number of available retries, from zero to limits.Burst.
 	tokens float64
-	// refilled is when tokens was last brought up to date.
+	// refilled is the time of the last refill.
 	refilled time.Time
 }
 
-// New returns a full budget.
+// New returns a full budget. The function now is its clock.
 func New(limits Limits, now func() time.Time) *Budget {
 	return &Budget{now: now, limits: limits, tokens: limits.Burst, refilled: now()}
 }
 
-// NewEmpty returns an empty budget.
+// NewEmpty returns an empty budget. The function now is its clock.
 func NewEmpty(limits Limits, now func() time.Time) *Budget {
 	return &Budget{now: now, limits: limits, refilled: now()}
 }
 
-// SetLimits changes what the budget allows. What was saved above the new burst
-// is lost.
+// SetLimits changes the limits. Retries in excess of the new burst are discarded.
 func (budget *Budget) SetLimits(limits Limits) {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
@@ -51,14 +50,15 @@
 	budget.tokens = min(budget.tokens, limits.Burst)
 }
 
-// Earn notes a request.
+// Earn adds the retries earned by one request, up to the burst.
 func (budget *Budget) Earn() {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	budget.tokens = min(budget.limits.Burst, budget.tokens+budget.limits.Ratio)
 }
 
-// Spend takes a retry, if there is one.
+// Spend removes one retry from the budget. It reports false, and removes nothing, if less than one
+// is available.
 func (budget *Budget) Spend() bool {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -12,10 +12,9 @@
 	"github.com/mastwinch/mastwinch/internal/retrybudget"
 )
 
-// TestMain makes the random checks the same in every run, unless the command
-// line gives another seed.
+// TestMain fixes the seed of the property tests, unless the command line sets another one.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // rapid has declared it
+	_ = flag.Set("rapid.seed", "1") // rapid declares the flag
 	flag.Parse()
 	os.Exit(m.Run())
 }
@@ -27,7 +26,7 @@
 	assert.Assert(t, budget.Spend())
 	assert.Assert(t, !budget.Spend())
 	budget.Earn()
-	assert.Assert(t, !budget.Spend(), "half a retry is none")
+	assert.Assert(t, !budget.Spend(), "half a retry can't be spent")
 	budget.Earn()
 	assert.Assert(t, budget.Spend())
 	now = now.Add(5 * time.Second)
@@ -36,17 +35,18 @@
 	now = now.Add(time.Hour)
 	budget.SetLimits(retrybudget.Limits{Burst: 1})
 	assert.Assert(t, budget.Spend())
-	assert.Assert(t, !budget.Spend(), "what was saved above the burst is lost")
+	assert.Assert(t, !budget.Spend(), "retries in excess of the new burst are discarded")
 }
 
-// event is a request or a retry.
+// event is a request, or a retry if spent is set.
 type event struct {
 	at    time.Time
 	spent bool
 }
 
-// TestAnyWindow spends whenever it may, and counts over every window.
-func TestAnyWindow(t *testing.T) {
+// TestWindowLimit is a property test: it spends all available retries after each request, and
+// checks the limit over every window.
+func TestWindowLimit(t *testing.T) {
 	limits := retrybudget.Limits{Ratio: 0.2, Burst: 5, Refill: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -66,7 +66,7 @@
 	})
 }
 
-// checkWindow counts the retries in the window that begins with the first event.
+// checkWindow checks the number of retries in the window that begins with the first event.
 func checkWindow(t *rapid.T, limits retrybudget.Limits, events []event) {
 	requests, spent := 0, 0
 	for _, event := range events {
@@ -80,6 +80,6 @@
 		}
 	}
 	if most := 2*limits.Burst + limits.Ratio*float64(requests) + 1; float64(spent) > most {
-		t.Fatalf("%d retries where %f are allowed", spent, most)
+		t.Fatalf("%d retries in a window, at most %f allowed", spent, most)
 	}
 }
