--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,6 +1,6 @@
-// Package reservation sets KV memory aside at several engines for one prompt,
-// at all of them or at none, and gives it back. Memory is held for a short time
-// and renewed while it is used, so that a VM that dies leaks nothing.
+// Package reservation reserves KV memory for one prompt at several engines, at all of them or at
+// none, and releases it. A reservation lasts for a short time and is renewed while it is in use, so
+// that a VM that stops leaks no memory.
 package reservation
 
 import (
@@ -18,26 +18,26 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// maxReplyBytes bounds the reply to an order.
+// maxReplyBytes limits the size of the reply to a command.
 const maxReplyBytes = 64 << 10
 
-// Settings tune reservations.
+// Settings configure reservations.
 type Settings struct {
-	// Hold is how long memory is set aside without being renewed. It is below
-	// the 4 s in which the users want unused memory back.
+	// Hold is the time after which an engine releases a reservation that is not renewed. It must be
+	// below 4 s, the time within which the users require unused memory to be released.
 	Hold time.Duration `yaml:"hold" validate:"min=100ms"`
-	// Renew is the time between renewals.
+	// Renew is the interval between renewals.
 	Renew time.Duration `yaml:"renew" validate:"min=10ms"`
-	// OrderTime is how long an order may take.
+	// OrderTime is the timeout of a command to an engine.
 	OrderTime time.Duration `yaml:"order_time" validate:"min=10ms"`
-	// Again is the time between releases of memory of which an order went
-	// unanswered, and Late how long such an order may still be carried out.
+	// Again is the interval between attempts to release memory after a reserve command without a
+	// reply. Late is the time for which the engine may still execute such a command.
 	Again time.Duration `yaml:"again" validate:"min=10ms"`
 	Late  time.Duration `yaml:"late" validate:"min=10ms"`
 }
 
-// DefaultSettings returns settings for the users' platform, where an order may
-// be carried out 12 s late.
+// DefaultSettings returns the settings for the users' platform, where an engine may execute a
+// command 12 s late.
 func DefaultSettings() Settings {
 	return Settings{
 		Hold:      3500 * time.Millisecond,
@@ -48,62 +48,64 @@
 	}
 }
 
-// WithHoldAtMost returns the settings with memory set aside for no longer than
-// that, unless it is zero. It is renewed as much sooner.
-func (settings Settings) WithHoldAtMost(most time.Duration) Settings {
-	if most <= 0 || settings.Hold <= most {
+// WithMaxHold returns the settings with Hold limited to maxHold. The renewal interval is shortened in
+// proportion. Zero means no limit.
+func (settings Settings) WithHoldAtMost(maxHold time.Duration) Settings {
+	if maxHold <= 0 || settings.Hold <= maxHold {
 		return settings
 	}
-	settings.Renew = time.Duration(float64(settings.Renew) * float64(most) / float64(settings.Hold))
-	settings.Hold = most
+	settings.Renew = time.Duration(float64(settings.Renew) * float64(maxHold) / float64(settings.Hold))
+	settings.Hold = maxHold
 	return settings
 }
 
-// ReplyKind says whether an engine does what an order wants.
+// ReplyKind is the result of a command.
 type ReplyKind string
 
 // Kinds of reply.
 const (
-	// ReplyDone: it holds.
+	// ReplyDone means that the engine has executed the command.
 	ReplyDone ReplyKind = "done"
-	// ReplyNotFree: there is no memory for it.
+	// ReplyNotFree means that the engine has too little free memory.
 	ReplyNotFree ReplyKind = "not_free"
-	// ReplyRefused: the engine does not take the order.
+	// ReplyRefused means that the engine does not accept the command.
 	ReplyRefused ReplyKind = "refused"
 )
 
-// Reply is what an engine says to an order.
+// Reply is an engine's reply to a command.
 type Reply struct {
 	Kind ReplyKind
-	// Free is the memory that it has left, in tokens. It counts for ReplyNotFree only.
+	// Free is the engine's free memory, in tokens. It is valid for ReplyNotFree only.
 	Free int
 }
 
-// Codec makes orders and reads replies.
+// Codec encodes commands and decodes replies. A ticket identifies a reservation at an engine.
 type Codec interface {
 	Reserve(instance, ticket string, tokens int, hold time.Duration) upstream.Request
 	Release(instance, ticket string) upstream.Request
-	// Reply returns an error when the bytes are no reply to an order.
+	// Reply decodes a reply. It returns an error when the body is not a reply to a command.
 	Reply(status int, body []byte) (Reply, error)
 }
 
-// Sender sends orders.
+// Sender sends commands to the engine at an address. The response is discarded if fits returns
+// false for its header.
 type Sender interface {
 	Send(ctx context.Context, address string, request upstream.Request, fits func(http.Header) bool) (*upstream.Response, error)
 }
 
-// Want is memory that is wanted at one engine.
+// Claim is the memory to reserve at one engine. Tokens is its size.
 type Want struct {
 	Instance string
 	Address  string
 	Tokens   int
 }
 
-// NotFreeError says at which engine memory could not be set aside.
+// EngineError reports an engine at which memory could not be reserved.
 type NotFreeError struct {
 	Want
 
-	// Reply is what the engine said, unless Err says that it said nothing.
+	// Reply is the engine's reply, unless Err is set. Err is the reason why there is no valid
+	// reply.
 	Reply Reply
 	Err   error
 }
@@ -111,168 +113,170 @@
 // Error implements error.
 func (e *NotFreeError) Error() string {
 	if e.Err != nil {
-		return fmt.Sprintf("memory at %s: %v", e.Instance, e.Err)
+		return fmt.Sprintf("reserve memory at %s: %v", e.Instance, e.Err)
 	}
-	return fmt.Sprintf("memory at %s: %s, %d of %d tokens free", e.Instance, e.Reply.Kind, e.Reply.Free, e.Tokens)
+	return fmt.Sprintf("reserve memory at %s: %s, %d of %d tokens free", e.Instance, e.Reply.Kind, e.Reply.Free, e.Tokens)
 }
 
-// GatherError has all engines at which memory for one prompt could not be set aside.
+// ReserveError lists all engines at which memory for one prompt could not be reserved. Failures is
+// never empty.
 type GatherError struct {
 	Failures []*NotFreeError
 }
 
 // Error implements error.
 func (e *GatherError) Error() string {
-	return fmt.Sprintf("%d engines, the first: %v", len(e.Failures), e.Failures[0])
+	return fmt.Sprintf("memory reservation failed at %d engines, first error: %v", len(e.Failures), e.Failures[0])
 }
 
-// Book makes reservations.
+// Manager makes reservations. It is safe for concurrent use.
 type Book struct {
 	settings Settings
 	codec    Codec
 	sender   Sender
 	logger   *slog.Logger
 	now      func() time.Time
-	// life ends the release of what was forgotten.
-	life context.Context //nolint:containedctx // releases outlive the request they are for
+	// lifetime ends renewals and releases. Requests whose reservations were abandoned have ended
+	// before.
+	lifetime context.Context //nolint:containedctx // releases outlive their requests
 }
 
-// New returns a book of reservations that works until life ends.
+// New returns a manager that renews and releases reservations until lifetime is done.
 func New(
-	life context.Context, settings Settings, codec Codec, sender Sender,
+	lifetime context.Context, settings Settings, codec Codec, sender Sender,
 	logger *slog.Logger, now func() time.Time,
 ) *Book {
-	return &Book{settings: settings, codec: codec, sender: sender, logger: logger, now: now, life: life}
+	return &Book{settings: settings, codec: codec, sender: sender, logger: logger, now: now, lifetime: lifetime}
 }
 
-// Held is memory set aside for one prompt.
+// Reservation is memory reserved for one prompt at one or more engines.
 type Held struct {
-	book   *Book
-	ticket string
-	wants  []Want
-	stop   context.CancelFunc
-	done   sync.WaitGroup
+	manager *Book
+	ticket  string
+	claims  []Want
+	stop    context.CancelFunc
+	done    sync.WaitGroup
 
 	mu sync.Mutex
-	// unanswered has when an order to each engine was last left unanswered.
+	// unanswered has the time of the last reserve command without a reply, by engine.
 	unanswered map[string]time.Time
 }
 
-// Gather sets memory aside at all engines or at none, under the same ticket. Its error is a
-// GatherError.
-func (book *Book) Gather(ctx context.Context, ticket string, wants []Want) (*Held, error) {
-	held := &Held{book: book, ticket: ticket, wants: wants, unanswered: make(map[string]time.Time)}
-	replies := make(chan *NotFreeError, len(wants))
-	for _, want := range wants {
-		go func() { replies <- held.reserve(ctx, want) }()
+// Reserve reserves memory at all engines of the claims, or at none, under one ticket, which
+// identifies the reservation at the engines. It returns a *ReserveError if any engine fails.
+func (manager *Book) Gather(ctx context.Context, ticket string, claims []Want) (*Held, error) {
+	reservation := &Held{manager: manager, ticket: ticket, claims: claims, unanswered: make(map[string]time.Time)}
+	replies := make(chan *NotFreeError, len(claims))
+	for _, claim := range claims {
+		go func() { replies <- reservation.reserve(ctx, claim) }()
 	}
 	var failures []*NotFreeError
-	for range wants {
+	for range claims {
 		if failure := <-replies; failure != nil {
 			failures = append(failures, failure)
 		}
 	}
-	renewing, stop := context.WithCancel(book.life)
-	held.stop = stop
+	renewing, stop := context.WithCancel(manager.lifetime)
+	reservation.stop = stop
 	if len(failures) > 0 {
-		held.Release()
+		reservation.Release()
 		return nil, &GatherError{Failures: failures}
 	}
-	held.done.Go(func() { held.renew(renewing) })
-	return held, nil
+	reservation.done.Go(func() { reservation.renew(renewing) })
+	return reservation, nil
 }
 
-// Ticket names the memory.
-func (held *Held) Ticket() string {
-	return held.ticket
+// Ticket returns the ticket, the ID under which the engines hold the memory.
+func (reservation *Held) Ticket() string {
+	return reservation.ticket
 }
 
-// Release gives the memory back, without waiting for it.
-func (held *Held) Release() {
-	held.stop()
+// Release releases the memory in the background.
+func (reservation *Held) Release() {
+	reservation.stop()
 	go func() {
-		held.done.Wait()
-		for _, want := range held.wants {
-			go held.release(want)
+		reservation.done.Wait()
+		for _, claim := range reservation.claims {
+			go reservation.release(claim)
 		}
 	}()
 }
 
-// renew renews the memory until ctx is done.
-func (held *Held) renew(ctx context.Context) {
-	for wait.For(ctx, held.book.settings.Renew) {
-		for _, want := range held.wants {
-			held.done.Go(func() {
-				if failure := held.reserve(ctx, want); failure != nil && ctx.Err() == nil {
-					held.book.logger.Warn("memory not renewed", "ticket", held.ticket, "server", want.Instance, "error", failure)
+// renew renews the reservation periodically until ctx is done.
+func (reservation *Held) renew(ctx context.Context) {
+	for wait.For(ctx, reservation.manager.settings.Renew) {
+		for _, claim := range reservation.claims {
+			reservation.done.Go(func() {
+				if failure := reservation.reserve(ctx, claim); failure != nil && ctx.Err() == nil {
+					reservation.manager.logger.Warn("failed to renew memory reservation", "ticket", reservation.ticket, "server", claim.Instance, "error", failure)
 				}
 			})
 		}
 	}
 }
 
-// reserve sets memory aside at one engine, or renews it. It returns nil when that is done.
-func (held *Held) reserve(ctx context.Context, want Want) *NotFreeError {
-	book := held.book
-	request := book.codec.Reserve(want.Instance, held.ticket, want.Tokens, book.settings.Hold)
-	reply, answered, err := held.order(ctx, want, request)
+// reserve reserves memory at one engine, or renews it. It returns nil on success.
+func (reservation *Held) reserve(ctx context.Context, claim Want) *NotFreeError {
+	manager := reservation.manager
+	request := manager.codec.Reserve(claim.Instance, reservation.ticket, claim.Tokens, manager.settings.Hold)
+	reply, answered, err := reservation.order(ctx, claim, request)
 	if !answered {
-		held.noteUnanswered(want)
+		reservation.noteUnanswered(claim)
 	}
 	if err != nil {
-		return &NotFreeError{Want: want, Err: err}
+		return &NotFreeError{Want: claim, Err: err}
 	}
 	if reply.Kind != ReplyDone {
-		return &NotFreeError{Want: want, Reply: reply}
+		return &NotFreeError{Want: claim, Reply: reply}
 	}
 	return nil
 }
 
-// release gives memory at one engine back, and again as long as an order that
-// was left unanswered may still be carried out.
-func (held *Held) release(want Want) {
-	book := held.book
+// release releases the memory at one engine. It repeats the command while the engine may still
+// execute an earlier reserve command that got no reply, since that would reserve the memory again.
+func (reservation *Held) release(claim Want) {
+	manager := reservation.manager
 	for {
-		request := book.codec.Release(want.Instance, held.ticket)
-		_, _, err := held.order(book.life, want, request)
-		held.mu.Lock()
-		last, doubtful := held.unanswered[want.Instance]
-		held.mu.Unlock()
-		if !doubtful || book.now().Sub(last) > book.settings.Late {
+		request := manager.codec.Release(claim.Instance, reservation.ticket)
+		_, _, err := reservation.order(manager.lifetime, claim, request)
+		reservation.mu.Lock()
+		last, outstanding := reservation.unanswered[claim.Instance]
+		reservation.mu.Unlock()
+		if !outstanding || manager.now().Sub(last) > manager.settings.Late {
 			return
 		}
 		if err != nil {
-			book.logger.Info("memory not released yet", "ticket", held.ticket, "server", want.Instance, "error", err)
+			manager.logger.Info("failed to release memory reservation; retrying", "ticket", reservation.ticket, "server", claim.Instance, "error", err)
 		}
-		if !wait.For(book.life, book.settings.Again) {
+		if !wait.For(manager.lifetime, manager.settings.Again) {
 			return
 		}
 	}
 }
 
-// order sends one order. It reports false when the order was sent and not
-// answered, so that it may be carried out late.
-func (held *Held) order(ctx context.Context, want Want, request upstream.Request) (Reply, bool, error) {
-	book := held.book
-	bounded, cancel := context.WithTimeout(ctx, book.settings.OrderTime)
+// sendCommand sends one command and returns its reply. The boolean is false when the command was
+// sent but got no valid reply, so that the engine may still execute it later.
+func (reservation *Held) order(ctx context.Context, claim Want, request upstream.Request) (Reply, bool, error) {
+	manager := reservation.manager
+	timeoutCtx, cancel := context.WithTimeout(ctx, manager.settings.OrderTime)
 	defer cancel()
-	response, err := book.sender.Send(bounded, want.Address, request, func(http.Header) bool { return true })
+	response, err := manager.sender.Send(timeoutCtx, claim.Address, request, func(http.Header) bool { return true })
 	if err != nil {
 		var notSent *upstream.NotSentError
-		return Reply{}, errors.As(err, &notSent), err //nolint:wrapcheck // says what was not sent
+		return Reply{}, errors.As(err, &notSent), err //nolint:wrapcheck // the error of Send has the context
 	}
 	defer response.Close(0)
 	body, err := io.ReadAll(io.LimitReader(response, maxReplyBytes))
 	if err != nil {
-		return Reply{}, false, errors.Wrap(err, "order")
+		return Reply{}, false, errors.Wrap(err, "read reply to reservation command")
 	}
-	reply, err := book.codec.Reply(response.Status, body)
-	return reply, err == nil, err //nolint:wrapcheck // names the reply
+	reply, err := manager.codec.Reply(response.Status, body)
+	return reply, err == nil, err //nolint:wrapcheck // the error of the codec has the context
 }
 
-// noteUnanswered notes that a reservation may still be carried out.
-func (held *Held) noteUnanswered(want Want) {
-	held.mu.Lock()
-	defer held.mu.Unlock()
-	held.unanswered[want.Instance] = held.book.now()
+// recordUnanswered records that the engine may still execute a reserve command.
+func (reservation *Held) noteUnanswered(claim Want) {
+	reservation.mu.Lock()
+	defer reservation.mu.Unlock()
+	reservation.unanswered[claim.Instance] = reservation.manager.now()
 }
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -19,58 +19,58 @@
 	"github.com/mastwinch/mastwinch/platform"
 )
 
-// behaviour is how an engine takes orders.
+// behaviour is how a fake engine handles commands.
 type behaviour string
 
 const (
-	obeys    behaviour = "obeys"
-	full     behaviour = "full"
-	silent   behaviour = "silent"
-	latent   behaviour = "carries reservations out late, without an answer"
-	unlisted behaviour = "does not listen"
+	normal       behaviour = "normal"
+	full         behaviour = "full"
+	unresponsive behaviour = "unresponsive"
+	late         behaviour = "executes reserve commands late, without a reply"
+	unreachable  behaviour = "unreachable"
 )
 
 // testTicket is the ticket of all tests.
 const testTicket = "t1"
 
-const lateness = 6 * time.Second
+const executionDelay = 6 * time.Second
 
-// engine is an engine that keeps memory for tickets.
+// engine is a fake engine that holds memory by ticket.
 type engine struct {
 	mu        sync.Mutex
 	behaviour behaviour
-	// until has when each ticket lapses.
-	until  map[string]time.Time
-	orders int
+	// until has the expiry time of each reservation.
+	until    map[string]time.Time
+	commands int
 }
 
 func (engine *engine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	var order struct {
+	var command struct {
 		Op     string `json:"op"`
 		ID     string `json:"id"`
 		HoldMS int64  `json:"hold_ms"`
 	}
-	_ = json.NewDecoder(request.Body).Decode(&order)
+	_ = json.NewDecoder(request.Body).Decode(&command)
 	engine.mu.Lock()
-	engine.orders++
+	engine.commands++
 	behaviour := engine.behaviour
 	engine.mu.Unlock()
-	hold := time.Duration(order.HoldMS) * time.Millisecond
+	hold := time.Duration(command.HoldMS) * time.Millisecond
 	switch {
-	case behaviour == silent:
+	case behaviour == unresponsive:
 		<-request.Context().Done()
 		return
-	case behaviour == full && order.Op == "reserve":
+	case behaviour == full && command.Op == "reserve":
 		writer.WriteHeader(http.StatusConflict)
 		return
-	case behaviour == latent && order.Op == "reserve":
-		time.AfterFunc(lateness, func() { engine.set(order.ID, hold) })
+	case behaviour == late && command.Op == "reserve":
+		time.AfterFunc(executionDelay, func() { engine.set(command.ID, hold) })
 		<-request.Context().Done()
 		return
-	case order.Op == "release":
-		engine.set(order.ID, 0)
+	case command.Op == "release":
+		engine.set(command.ID, 0)
 	default:
-		engine.set(order.ID, hold)
+		engine.set(command.ID, hold)
 	}
 	_, _ = writer.Write([]byte(`{"free": 1}`))
 }
@@ -81,46 +81,47 @@
 	engine.until[ticket] = time.Now().Add(hold)
 }
 
-// holds reports whether the test's ticket has memory now.
+// holds reports whether the test's reservation has memory now.
 func (engine *engine) holds() bool {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return time.Now().Before(engine.until[testTicket])
 }
 
-func (engine *engine) behave(behaviour behaviour) {
+func (engine *engine) setBehaviour(behaviour behaviour) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.behaviour = behaviour
 }
 
-// newBook returns a book over engines that behave so.
-func newBook(t *testing.T, behaviours ...behaviour) (*reservation.Book, []*engine, []reservation.Want, func()) {
+// newManager returns a manager, fake engines with the given behaviours, a claim for each engine,
+// and a function that stops everything.
+func newManager(t *testing.T, behaviours ...behaviour) (*reservation.Book, []*engine, []reservation.Want, func()) {
 	t.Helper()
 	network := memnet.New()
-	life, end := context.WithCancel(t.Context())
+	lifetime, end := context.WithCancel(t.Context())
 	var engines []*engine
-	var wants []reservation.Want
+	var claims []reservation.Want
 	var servers []*http.Server
 	for i, behaviour := range behaviours {
 		engine := &engine{behaviour: behaviour, until: make(map[string]time.Time)}
 		address := fmt.Sprintf("10.0.0.%d:80", i+1)
 		engines = append(engines, engine)
-		wants = append(wants, reservation.Want{Instance: fmt.Sprintf("i-%d", i), Address: address, Tokens: 1000})
-		if behaviour == unlisted {
+		claims = append(claims, reservation.Want{Instance: fmt.Sprintf("i-%d", i), Address: address, Tokens: 1000})
+		if behaviour == unreachable {
 			continue
 		}
-		listener, err := network.Listen(life, address)
+		listener, err := network.Listen(lifetime, address)
 		assert.NilError(t, err)
 		server := &http.Server{Handler: engine}
 		servers = append(servers, server)
 		go func() { _ = server.Serve(listener) }()
 	}
-	client := upstream.New(upstream.DefaultSettings(), network, deaf{}, time.Now)
-	book := reservation.New(life, reservation.DefaultSettings(), platform.Orders{}, client, slog.New(slog.DiscardHandler), time.Now)
-	return book, engines, wants, func() {
+	client := upstream.New(upstream.DefaultSettings(), network, noopListener{}, time.Now)
+	manager := reservation.New(lifetime, reservation.DefaultSettings(), platform.Orders{}, client, slog.New(slog.DiscardHandler), time.Now)
+	return manager, engines, claims, func() {
 		end()
-		time.Sleep(time.Minute) // kept connections lapse, late orders are over
+		time.Sleep(time.Minute) // idle connections expire and late commands are executed
 		client.Sweep()
 		for _, server := range servers {
 			_ = server.Close()
@@ -129,22 +130,22 @@
 	}
 }
 
-func TestGatherAllOrNone(t *testing.T) {
+func TestReserveAllOrNone(t *testing.T) {
 	tests := map[string]struct {
 		behaviours []behaviour
 		wantErr    string
 	}{
-		"all have memory":     {behaviours: []behaviour{obeys, obeys, obeys}},
-		"one is full":         {behaviours: []behaviour{obeys, full, obeys}, wantErr: "i-1: not_free"},
-		"one says nothing":    {behaviours: []behaviour{obeys, obeys, silent}, wantErr: "i-2"},
-		"one does not listen": {behaviours: []behaviour{unlisted, obeys}, wantErr: "i-0"},
+		"all have free memory": {behaviours: []behaviour{normal, normal, normal}},
+		"one is full":          {behaviours: []behaviour{normal, full, normal}, wantErr: "i-1: not_free"},
+		"one does not reply":   {behaviours: []behaviour{normal, normal, unresponsive}, wantErr: "i-2"},
+		"one is unreachable":   {behaviours: []behaviour{unreachable, normal}, wantErr: "i-0"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				book, engines, wants, end := newBook(t, test.behaviours...)
+				manager, engines, claims, end := newManager(t, test.behaviours...)
 				defer end()
-				held, err := book.Gather(t.Context(), testTicket, wants)
+				reserved, err := manager.Gather(t.Context(), testTicket, claims)
 				if test.wantErr != "" {
 					assert.ErrorContains(t, err, test.wantErr)
 					time.Sleep(time.Second)
@@ -156,9 +157,9 @@
 				assert.NilError(t, err)
 				time.Sleep(20 * time.Second)
 				for i, engine := range engines {
-					assert.Assert(t, engine.holds(), "engine %d renews", i)
+					assert.Assert(t, engine.holds(), "engine %d renewed its reservation", i)
 				}
-				held.Release()
+				reserved.Release()
 				time.Sleep(100 * time.Millisecond)
 				for i, engine := range engines {
 					assert.Assert(t, !engine.holds(), "engine %d", i)
@@ -168,35 +169,36 @@
 	}
 }
 
-// TestLateOrdersLeakNothing has an engine that leaves reservations unanswered
-// and carries them out seconds later, when the memory is not wanted any more.
-func TestLateOrdersLeakNothing(t *testing.T) {
+// TestLateCommandsLeakNoMemory guards against memory that stays reserved after a release: an engine
+// does not reply to reserve commands and executes them seconds later, when the memory is no longer
+// needed.
+func TestLateCommandsLeakNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book, engines, wants, end := newBook(t, obeys, obeys)
+		manager, engines, claims, end := newManager(t, normal, normal)
 		defer end()
-		held, err := book.Gather(t.Context(), testTicket, wants)
+		reserved, err := manager.Gather(t.Context(), testTicket, claims)
 		assert.NilError(t, err)
-		engines[1].behave(latent)
+		engines[1].setBehaviour(late)
 		time.Sleep(2 * time.Second)
-		held.Release()
-		engines[1].behave(obeys)
+		reserved.Release()
+		engines[1].setBehaviour(normal)
 		unused := time.Duration(0)
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if engines[1].holds() {
 				unused += 100 * time.Millisecond
 			}
-			assert.Assert(t, unused < 4*time.Second, "memory that nobody uses is given back")
+			assert.Assert(t, unused < 4*time.Second, "unused memory must be released within 4 s")
 		}
 		assert.Assert(t, !engines[1].holds())
 	})
 }
 
-// TestDeadVMLeaksNothing ends the VM's life without a release.
-func TestDeadVMLeaksNothing(t *testing.T) {
+// TestStoppedVMLeaksNoMemory stops a VM without a release, and checks that its reservations expire.
+func TestStoppedVMLeaksNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book, engines, wants, end := newBook(t, obeys, obeys)
-		_, err := book.Gather(t.Context(), testTicket, wants)
+		manager, engines, claims, end := newManager(t, normal, normal)
+		_, err := manager.Gather(t.Context(), testTicket, claims)
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, engines[0].holds())
@@ -218,9 +220,9 @@
 	}
 }
 
-// deaf takes nothing from what engines say of themselves.
-type deaf struct{}
+// noopListener ignores what engines report in their responses.
+type noopListener struct{}
 
-var _ upstream.Listener = deaf{}
+var _ upstream.Listener = noopListener{}
 
-func (deaf) Heard(string, time.Time, int, http.Header) {}
+func (noopListener) Heard(string, time.Time, int, http.Header) {}
