--- /dev/null
+++ b/internal/pool/active_request.go
@@ -0,0 +1,295 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+	"github.com/mastwinch/mastwinch/internal/placement"
+)
+
+// Phase is the progress of a request at one server, as far as it is reported.
+type Phase int
+
+// Values of Phase.
+const (
+	// PhaseUnknown is a phase that this VM's version doesn't support. Such reports are ignored.
+	PhaseNone Phase = iota
+	// PhasePrefill is from sending until the first event.
+	PhaseReading
+	// PhaseDecode is from the first event on.
+	PhaseWriting
+	// PhaseEnded is when the request is no longer at the server.
+	PhaseOver
+)
+
+// Report is the state of one attempt, or the health of one server, as VMs send it to each other.
+type Report struct {
+	// ID identifies the attempt. It is unique within the VM that sent the request.
+	ID uint64
+	// Server is the server's ID.
+	Server string
+	Phase  Phase
+	// PrefillTime is the estimated time of the prefill at this server.
+	Work time.Duration
+	// Memory is the KV memory that the request uses there, in tokens. With HealthUnreportedMemory
+	// it is the memory in use that no VM has reported.
+	Memory int
+	// Gap is the objective for the time between two events, or zero for none.
+	Gap time.Duration
+	// Tight is set for a request that counts as one with a short Gap.
+	Tight bool
+	// PrefillOnly is set where the server only prefills a part of the prompt for another server.
+	Helps bool
+	// Age is the time since the request was sent or, with HealthConnectionLost, since the
+	// connection was lost: zero in the first report of it. HealthRateLimited and HealthNoRateLimit
+	// define it for themselves.
+	Age time.Duration
+	// Pace is the time between the last two events divided by the expected time, or zero before the
+	// second event.
+	Pace float64
+	// Backoff is the remaining duration of the server's backoff.
+	Rest time.Duration
+	// PerSecond is the advertised rate limit of the server in requests per second.
+	PerSecond float64
+	// Health is the outcome to record for the server, or HealthUnreported for a report about an
+	// attempt.
+	Health Health
+	// Fingerprint is that of the request that Health is about, or None.
+	Fingerprint fingerprint.Fingerprint
+}
+
+// Health is the outcome of one request for a server, or a notice from the server.
+type Health int
+
+// Values of Health.
+const (
+	// HealthUnreported is for reports about attempts, which leave the server's health as it is.
+	HealthUntold Health = iota
+	// HealthSucceeded is a successful response.
+	HealthGood
+	// HealthFailed is a failed request or a timeout.
+	HealthFailed
+	// HealthClosed is a server that accepts no more requests.
+	HealthClosed
+	// HealthUnreportedMemory is KV memory in use that no VM has reported. Its amount is the
+	// report's Memory.
+	HealthNotFree
+	// HealthConnectionLost is a connection that broke during the request.
+	HealthLost
+	// HealthDraining is the server's announcement, in a response, that it drains.
+	HealthLeaving
+	// HealthBackoff is the server's request that the reporting VM sends it nothing for the report's
+	// Backoff.
+	HealthResting
+	// HealthRateLimited is a rate limit on the requests from all VMs together. The report's Age is
+	// the time since it was received.
+	HealthLimited
+	// HealthNoRateLimit is a response without a rate limit after an earlier one had advertised it.
+	// The report's Age is the time since the request for that response was sent.
+	HealthUnlimited
+)
+
+// attempt is a request at one server.
+type attempt struct {
+	Report
+
+	// vm is the name of the VM that sent it.
+	vm     string
+	sentAt time.Time
+	// reportedAt is when that VM last reported it.
+	toldAt time.Time
+}
+
+// ActiveRequest is a request of this VM that is in flight at the servers of one plan. Its methods
+// are safe for concurrent use.
+type Use struct {
+	pool *Pool
+	// attemptIDs has the attempts. The first is at the server that decodes.
+	attemptIDs []uint64
+	// passTime is the expected duration of one engine pass without prefill, or zero for a service
+	// without engines.
+	passTime time.Duration
+	// lastEventAt is when the last event arrived, and expectedInterval is the time until the next
+	// one as estimated then. A zero lastEventAt means that the next event starts a new interval.
+	lastEventAt      time.Time
+	expectedInterval time.Duration
+}
+
+// StartWithID records that a request with a reserved ID is sent to the servers of a plan.
+func (pool *Pool) StartAs(id uint64, plan placement.Plan, request placement.Request) *Use {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.start(id, plan, request)
+}
+
+// StartWithinLimits records that a request is sent to the servers of a plan that this VM made
+// without the coordinator. It reports false if a server's rate limit has been used up since the
+// plan was made: requests planned concurrently all see the same remaining capacity.
+func (pool *Pool) StartWithin(plan placement.Plan, request placement.Request) (*Use, bool) {
+	id := pool.ReserveID()
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	now := pool.now()
+	for _, planned := range plan.IDs() {
+		if server := pool.servers[planned]; server != nil && !pool.withinLimits(server, pool.publisher.Share, now) {
+			return nil, false
+		}
+	}
+	return pool.start(id, plan, request), true
+}
+
+func (pool *Pool) start(id uint64, plan placement.Plan, request placement.Request) *Use {
+	now := pool.now()
+	activeRequest := &Use{pool: pool}
+	if request.Engine != nil {
+		activeRequest.passTime = request.Engine.PassTime(0, 0) + pool.settings.PassSpare
+	}
+	for _, report := range reports(id, plan, request) {
+		activeRequest.attemptIDs = append(activeRequest.attemptIDs, report.ID)
+		started := pool.add(pool.vm, report, now)
+		pool.own[report.ID] = started
+		pool.publisher.Publish(report)
+	}
+	return activeRequest
+}
+
+// newReports returns the reports of a request with the given ID, one for each server of a plan.
+func reports(id uint64, plan placement.Plan, request placement.Request) []Report {
+	list := make([]Report, 0, 1+len(plan.Helpers))
+	list = append(list, Report{
+		Server: plan.Server.ID, Phase: PhaseReading, Work: plan.Part,
+		Memory: request.Memory, Gap: request.Gap, Tight: plan.Tight,
+	})
+	for _, helper := range plan.Helpers {
+		list = append(list, Report{Server: helper.ID, Phase: PhaseReading, Work: plan.Part, Helps: true})
+	}
+	for i := range list {
+		list[i].ID = id + 1 + uint64(i)
+		if len(plan.Shares) > 0 {
+			list[i].Memory = plan.Shares[i]
+		}
+	}
+	return list
+}
+
+// addAttempt adds an attempt to its server, and returns the existing one if the server has it
+// already. An attempt at an unknown server is only returned.
+func (pool *Pool) add(vm string, report Report, now time.Time) *attempt {
+	server := pool.servers[report.Server]
+	if server == nil {
+		return &attempt{Report: report, vm: vm, sentAt: now, toldAt: now}
+	}
+	for _, known := range server.attempts {
+		if known.vm == vm && known.ID == report.ID {
+			return known
+		}
+	}
+	added := &attempt{Report: report, vm: vm, sentAt: now, toldAt: now}
+	pool.place(server, added, now)
+	return added
+}
+
+// FinishPrefill records the end of the prefill: helpers without KV memory are released, and the first
+// server decodes.
+func (activeRequest *Use) Read() {
+	activeRequest.pool.mu.Lock()
+	defer activeRequest.pool.mu.Unlock()
+	for _, id := range activeRequest.attemptIDs {
+		activeRequest.pool.read(id)
+	}
+}
+
+func (pool *Pool) read(id uint64) {
+	own := pool.own[id]
+	if own == nil || own.Phase != PhaseReading {
+		return
+	}
+	if own.Helps && own.Memory == 0 {
+		pool.over(id)
+		return
+	}
+	own.Phase = PhaseWriting
+	if server := pool.servers[own.Server]; server != nil {
+		server.lastRead = pool.now()
+	}
+	pool.publisher.Publish(own.Report)
+	pool.wake()
+}
+
+// RecordEvent records an event, and updates the server's pace by the time since the last one.
+func (activeRequest *Use) Event() {
+	pool := activeRequest.pool
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	own := pool.own[activeRequest.attemptIDs[0]]
+	if own == nil || activeRequest.passTime == 0 {
+		return
+	}
+	now := pool.now()
+	server := pool.servers[own.Server]
+	if server == nil {
+		return
+	}
+	if !activeRequest.lastEventAt.IsZero() {
+		own.Pace = now.Sub(activeRequest.lastEventAt).Seconds() / activeRequest.expectedInterval.Seconds()
+		server.learnPace(own.Pace, now, pool.settings)
+	}
+	activeRequest.lastEventAt = now
+	activeRequest.expectedInterval = activeRequest.passTime + server.reading()
+}
+
+// ResetEventTimer records that events were not received for a while for a reason outside of the
+// server, so that the time until the next one doesn't count in its pace.
+func (activeRequest *Use) Interrupted() {
+	activeRequest.pool.mu.Lock()
+	defer activeRequest.pool.mu.Unlock()
+	activeRequest.lastEventAt = time.Time{}
+}
+
+// Finish records that the request is no longer at its servers. Further calls have no effect.
+func (activeRequest *Use) Over() {
+	activeRequest.pool.mu.Lock()
+	defer activeRequest.pool.mu.Unlock()
+	for _, id := range activeRequest.attemptIDs {
+		activeRequest.pool.over(id)
+	}
+}
+
+func (pool *Pool) over(id uint64) {
+	own := pool.own[id]
+	if own == nil {
+		return
+	}
+	delete(pool.own, id)
+	pool.end(own)
+	report := own.Report
+	report.Phase = PhaseOver
+	pool.publisher.Publish(report)
+	pool.wake()
+}
+
+// removeAttempt removes an attempt from its server.
+func (pool *Pool) end(ended *attempt) {
+	server := pool.servers[ended.Server]
+	if server == nil {
+		return
+	}
+	if ended.Phase == PhaseReading {
+		server.lastRead = pool.now()
+	}
+	server.remove(ended)
+}
+
+// OwnReports returns the reports of this VM's requests in flight.
+func (pool *Pool) Own() []Report {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	now := pool.now()
+	reports := make([]Report, 0, len(pool.own))
+	for _, own := range pool.own {
+		report := own.Report
+		report.Age = now.Sub(own.sentAt)
+		reports = append(reports, report)
+	}
+	return reports
+}
--- a/internal/pool/assign.go
+++ b/internal/pool/assignment.go
@@ -6,8 +6,8 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// ReserveID returns a number for a request of this VM. The sendings of the request
-// have the numbers after it.
+// ReserveID returns an ID for a request of this VM. The attempts of the request use the IDs that
+// follow it.
 func (pool *Pool) ReserveID() uint64 {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -16,8 +16,9 @@
 	return first
 }
 
-// Assign notes that a request of any VM got the servers of a plan, before that VM
-// tells of it. If it never does, the request is forgotten like any that is not told of.
+// Assign records that a request of the given VM was assigned the servers of a plan, before that VM
+// reports it. Without a later report the attempts expire after Settings.RemoteTime, like those of
+// any other VM.
 func (pool *Pool) Assign(vm string, id uint64, plan placement.Plan, request placement.Request) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -27,19 +28,20 @@
 	}
 }
 
-// Withdraw forgets a request that was assigned and is not sent.
+// Withdraw removes the attempts of a request that was assigned but will not be sent, and refunds
+// them to the rate limits of their servers.
 func (pool *Pool) Withdraw(vm string, id uint64) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	withdrawn := false
 	for _, server := range pool.servers {
-		server.sendings = slices.DeleteFunc(server.sendings, func(sending *sending) bool {
-			ours := sending.vm == vm && sending.ID > id && sending.ID <= id+placement.MaxParts
-			if ours {
+		server.attempts = slices.DeleteFunc(server.attempts, func(attempt *attempt) bool {
+			matches := attempt.vm == vm && attempt.ID > id && attempt.ID <= id+placement.MaxParts
+			if matches {
 				withdrawn = true
 				server.takesBack()
 			}
-			return ours
+			return matches
 		})
 	}
 	if withdrawn {
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -12,25 +12,27 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-type unheard struct{}
+// discardPublisher drops all reports and may use the whole limits.
+type discardPublisher struct{}
 
-func (unheard) Publish(pool.Report) {}
+func (discardPublisher) Publish(pool.Report) {}
 
-func (unheard) Share() float64 { return 1 }
+func (discardPublisher) Share() float64 { return 1 }
 
-// BenchmarkOpen views engines with eight requests each, and those of which a tenth named a limit.
-func BenchmarkOpen(b *testing.B) {
+// BenchmarkEligible measures the selection among engines with eight requests each, without limits
+// and with a tenth of the engines limited.
+func BenchmarkEligible(b *testing.B) {
 	for _, count := range []int{18, 60, 150, 600} {
-		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkOpen(b, count, 0) })
+		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkEligible(b, count, 0) })
 	}
 	for _, count := range []int{60, 600} {
-		b.Run(fmt.Sprintf("%d, a tenth limited", count), func(b *testing.B) { benchmarkOpen(b, count, count/10) })
+		b.Run(fmt.Sprintf("%d, a tenth limited", count), func(b *testing.B) { benchmarkEligible(b, count, count/10) })
 	}
 }
 
-func benchmarkOpen(b *testing.B, count, limited int) {
+func benchmarkEligible(b *testing.B, count, limited int) {
 	b.Helper()
-	servers := pool.New(pool.DefaultSettings(), "vm-1", unheard{}, slog.New(slog.DiscardHandler), time.Now)
+	servers := pool.New(pool.DefaultSettings(), "vm-1", discardPublisher{}, slog.New(slog.DiscardHandler), time.Now)
 	entries := make([]follower.Change[directory.Entry], 0, count)
 	reports := make([]pool.Report, 0, 8*count)
 	for i := range count {
@@ -52,37 +54,39 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		servers.Told("vm-2", reports) // so that they are not forgotten
+		servers.Told("vm-2", reports) // keeps them from expiring
 		b.StartTimer()
 		servers.Open(service, nil)
 	}
 }
 
-// busyFleet takes as long to tell the share as it does among many VMs.
-type busyFleet struct{ unheard }
+// slowSharePublisher spends as long on the share as a publisher among 300 VMs.
+type slowSharePublisher struct{ discardPublisher }
 
-func (busyFleet) Share() float64 {
-	heard := make(map[int]time.Time)
+func (slowSharePublisher) Share() float64 {
+	lastReports := make(map[int]time.Time)
 	for vm := range 300 {
-		heard[vm] = time.Now()
+		lastReports[vm] = time.Now()
 	}
-	return float64(len(heard)) / 300
+	return float64(len(lastReports)) / 300
 }
 
-// BenchmarkTakesPerSecond asks what servers take of which none is limited, as it is asked for each request that waits.
-func BenchmarkTakesPerSecond(b *testing.B) {
-	servers := pool.New(pool.DefaultSettings(), "vm-1", busyFleet{}, slog.New(slog.DiscardHandler), time.Now)
-	servers.Replace(listedUpTo(600))
+// BenchmarkAcceptedRate measures the rate of servers without limits, which is computed for each
+// queued request.
+func BenchmarkAcceptedRate(b *testing.B) {
+	servers := pool.New(pool.DefaultSettings(), "vm-1", slowSharePublisher{}, slog.New(slog.DiscardHandler), time.Now)
+	servers.Replace(listedServers(600))
 	b.ReportAllocs()
 	for b.Loop() {
 		servers.TakesPerSecond("engines", nil, "vm-1")
 	}
 }
 
-// BenchmarkOwnLimits tells of limits where there are none, as each VM does twice a second.
-func BenchmarkOwnLimits(b *testing.B) {
-	servers := pool.New(pool.DefaultSettings(), "vm-1", unheard{}, slog.New(slog.DiscardHandler), time.Now)
-	servers.Replace(listedUpTo(3000))
+// BenchmarkOwnLimitReports measures the reports without any limits, which each VM collects twice a
+// second.
+func BenchmarkOwnLimitReports(b *testing.B) {
+	servers := pool.New(pool.DefaultSettings(), "vm-1", discardPublisher{}, slog.New(slog.DiscardHandler), time.Now)
+	servers.Replace(listedServers(3000))
 	b.ReportAllocs()
 	for b.Loop() {
 		servers.OwnLimits(false)
--- a/internal/pool/evacuation.go
+++ b/internal/pool/evacuation.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Evacuate lets the servers of these data centres, and of no others, get nothing new. What they work on ends in peace.
+// Evacuate stops new requests to the servers of the given data centres, which replace those given
+// before. Requests in flight there run to completion.
 func (pool *Pool) Evacuate(dataCentres []string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -14,21 +15,21 @@
 	return slices.Contains(pool.evacuated, server.entry.DataCentre)
 }
 
-// AllEvacuated reports whether a service has servers in those data centres that could get requests, and an evacuation keeps
-// them from all of these.
-func (pool *Pool) AllEvacuated(service string, keptTo []string) bool {
+// AllEvacuated reports whether a service has otherwise usable servers in the allowed data centres,
+// and all of them are excluded by an evacuation. An empty list allows all data centres.
+func (pool *Pool) AllEvacuated(service string, allowed []string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
-	kept := false
+	excluded := false
 	for _, server := range pool.byService[service] {
-		if !server.in(keptTo) || !pool.stays(server, now) {
+		if !server.in(allowed) || !pool.stays(server, now) {
 			continue
 		}
 		if !pool.isEvacuated(server) {
 			return false
 		}
-		kept = true
+		excluded = true
 	}
-	return kept
+	return excluded
 }
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -5,7 +5,7 @@
 	"github.com/mastwinch/mastwinch/internal/fingerprint"
 )
 
-// Succeeded notes a good answer of a server to a request.
+// RecordSuccess records that a server answered a request successfully, and publishes it.
 func (pool *Pool) Succeeded(id string, request fingerprint.Fingerprint) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -19,7 +19,8 @@
 	}
 }
 
-// Failed notes a failure of a server, and reports whether it is suspect now.
+// RecordFailure records a failure of a server, publishes it, and reports whether the server is
+// suspect now.
 func (pool *Pool) Failed(id string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -27,8 +28,9 @@
 	return pool.failed(id)
 }
 
-// FailedUnder notes that the connection to a server broke while it had a request, which counts as a failure,
-// and reports whether it is suspect now. The phase is how far the request was.
+// RecordConnectionLoss records that the connection to a server broke during a request, which counts
+// as a failure, publishes it, and reports whether the server is suspect now. The phase is that of
+// the request when the connection broke.
 func (pool *Pool) FailedUnder(id string, request fingerprint.Fingerprint, phase Phase) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -44,7 +46,7 @@
 	return server.ejection.Failed(pool.now(), pool.settings.ejection())
 }
 
-// Closed notes that a server said itself that it takes nothing more.
+// MarkClosed records a server's own response that it accepts no more requests, and publishes it.
 func (pool *Pool) Closed(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -52,6 +54,7 @@
 	pool.closed(id)
 }
 
+// closed marks a server as closed.
 func (pool *Pool) closed(id string) {
 	if server := pool.servers[id]; server != nil && !server.closed {
 		server.closed = true
@@ -59,8 +62,8 @@
 	}
 }
 
-// Leaves notes that a server said in an answer that it leaves. The list may be without that for as long as its source
-// is away, in which it would go on getting requests.
+// MarkDraining records that a server announced its draining in a response. The server list may lack
+// this while its source is unavailable, and the server would continue to get requests.
 func (pool *Pool) Leaves(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -69,35 +72,36 @@
 	}
 }
 
-// leaves reports whether that is new. It holds for this start of the server, whatever its entry says later.
-func (pool *Pool) leaves(id, toldBy string) bool {
+// markDraining reports whether the server was not known to drain before. The mark stays for this
+// start of the server, even if a later list entry lacks it.
+func (pool *Pool) leaves(id, reportedBy string) bool {
 	server := pool.servers[id]
 	if server == nil || server.entry.Leaving {
 		return false
 	}
 	server.entry.Leaving = true
-	server.leavingToldBy = toldBy
-	pool.logger.Info("server leaves", "server", id, "told_by", toldBy)
+	server.leavingToldBy = reportedBy
+	pool.logger.Info("server is draining", "server", id, "told_by", reportedBy)
 	return true
 }
 
-// Leaving returns how many servers are known to leave.
+// Draining returns the number of servers known to be draining.
 func (pool *Pool) Leaving() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	leaving := 0
+	draining := 0
 	for _, server := range pool.servers {
 		if server.entry.Leaving {
-			leaving++
+			draining++
 		}
 	}
-	return leaving
+	return draining
 }
 
-// NotFree notes that a server said how much KV memory it has left, which was too little for
-// wanted tokens of a request that is noted there already. What it has in use beyond what
-// is known here counts from now on, at all VMs: it mostly belongs to a VM that was killed,
-// and is free again when nobody renews it.
+// RecordFreeMemory records that a server reported its free KV memory, in tokens, when it had too
+// little for a request that wants the given number of tokens and is already recorded there. Memory
+// in use beyond the recorded requests counts from now on, at all VMs. It mostly belongs to a VM
+// that was killed, and the server frees it when its reservation is not renewed.
 func (pool *Pool) NotFree(service *catalog.Service, id string, wanted, free int) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -106,16 +110,18 @@
 		return
 	}
 	known := -wanted
-	for _, sending := range server.sendings {
-		known += sending.Memory
+	for _, attempt := range server.attempts {
+		known += attempt.Memory
 	}
 	hidden := max(0, service.Engine.MemoryTokens-free-known)
 	pool.hide(server, hidden)
 	pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthNotFree, Memory: hidden})
 }
 
-// hide lets hidden memory count, each time for twice as long as the last time, unless that is
-// long over: mostly it is that of a request which just ended, and released in a moment.
+// setHiddenMemory counts memory in use that no VM reported. The period doubles on each repetition,
+// up to Settings.HiddenMax, and starts again at Settings.HiddenMin if the last one ended more than
+// HiddenMax ago: mostly such memory belongs to a request that just ended, and is released within
+// moments.
 func (pool *Pool) hide(server *server, tokens int) {
 	now := pool.now()
 	settings := pool.settings
@@ -127,7 +133,7 @@
 	server.hiddenUntil = now.Add(server.hiddenFor)
 }
 
-// toldHealth takes over how a server did for a request of another VM.
+// applyHealth applies another VM's report about the health of a server.
 func (pool *Pool) toldHealth(vm string, report Report) {
 	switch report.Health {
 	case HealthGood:
@@ -135,7 +141,8 @@
 	case HealthFailed:
 		pool.failed(report.Server)
 	case HealthLost:
-		// One that is told again counted before: else one broken answer made a server suspect for five failures.
+		// Repeated reports have an age and were counted before. Counting them again made a server
+		// suspect for five failures after one broken response.
 		if report.Age == 0 {
 			pool.failed(report.Server)
 		}
--- a/internal/pool/limit.go
+++ b/internal/pool/limit.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// limitToldFor is for how long a VM that does not decide for others tells of a limit after it heard of it. Those
-	// that decide keep it.
+	// limitReportDuration is for how long a VM that doesn't coordinate repeats the reports of a
+	// limit after it observed it. Coordinators report their limits for as long as they are in
+	// force.
 	limitToldFor = 10 * time.Second
-	// limitTransit is the longest time that a datagram usually takes. What VMs tell each other in turns does not
-	// become news by it.
+	// datagramTransitTime is the usual upper bound on the transit time of a datagram. A limit that
+	// VMs repeat to each other is not taken for a newer one if it differs by less than this.
 	limitTransit = 100 * time.Millisecond
 )
 
-// Limits notes that a server named how many requests a second it takes from all VMs together. The VM that decides counts
-// them: a limit that each VM kept for itself would be exceeded by as many times as there are VMs.
+// RecordRateLimit records that a server advertised how many requests per second it accepts from all
+// VMs together. The coordinator counts requests against it: a limit enforced by each VM alone would
+// be exceeded by a factor of the number of VMs.
 func (pool *Pool) Limits(id string, perSecond float64) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -28,8 +30,8 @@
 	}
 }
 
-// limited reports whether that is new.
-func (pool *Pool) limited(id, toldBy string, perSecond float64, at time.Time) bool {
+// recordRateLimit reports whether the limit changed.
+func (pool *Pool) limited(id, reportedBy string, perSecond float64, at time.Time) bool {
 	server := pool.servers[id]
 	if server == nil {
 		return false
@@ -37,50 +39,52 @@
 	server.watched = false
 	limit, changed := server.limit.WithNamed(perSecond, at)
 	known, _ := server.limit.Statement()
-	if !changed && toldBy != pool.vm && at.Sub(known.At) < limitTransit {
+	if !changed && reportedBy != pool.vm && at.Sub(known.At) < limitTransit {
 		return false
 	}
 	server.limit = limit
 	pool.limits[id] = server
 	if changed {
-		pool.logger.Info("server limited", "server", id, "per_second", perSecond, "told_by", toldBy)
+		pool.logger.Info("server advertised a rate limit", "server", id, "per_second", perSecond, "told_by", reportedBy)
 	}
 	return changed
 }
 
-// LiftsLimit notes an answer of a server that names no limit, which was asked for at a moment.
-func (pool *Pool) LiftsLimit(id string, asked time.Time) {
+// RecordNoRateLimit records a response without a rate limit to a request that was sent at the given
+// time.
+func (pool *Pool) LiftsLimit(id string, sentAt time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	server := pool.servers[id]
 	if server == nil {
 		return
 	}
-	statement, _ := server.limit.Statement()
-	says := statement.Named && asked.After(statement.At)
-	if !says && !server.watched {
+	advertisement, _ := server.limit.Statement()
+	isNewer := advertisement.Named && sentAt.After(advertisement.At)
+	if !isNewer && !server.watched {
 		return
 	}
-	pool.unlimited(id, pool.vm, asked)
+	pool.unlimited(id, pool.vm, sentAt)
 	server.watched = false
 	pool.publisher.Publish(Report{
-		Server: id, Phase: PhaseOver, Health: HealthUnlimited, Age: pool.now().Sub(asked),
+		Server: id, Phase: PhaseOver, Health: HealthUnlimited, Age: pool.now().Sub(sentAt),
 	})
 }
 
-func (pool *Pool) unlimited(id, toldBy string, asked time.Time) {
+func (pool *Pool) unlimited(id, reportedBy string, sentAt time.Time) {
 	server := pool.servers[id]
 	if server == nil {
 		return
 	}
-	limit, changed := server.limit.WithLifted(asked, pool.now())
+	limit, changed := server.limit.WithLifted(sentAt, pool.now())
 	server.limit = limit
 	if changed {
-		pool.logger.Info("server not limited any more", "server", id, "told_by", toldBy)
+		pool.logger.Info("server rate limit lifted", "server", id, "told_by", reportedBy)
 	}
 }
 
-// WatchLimit notes that a server is limited as the VM that decides knows, so that an answer without a limit is to be told.
+// WatchRateLimit records that the coordinator has a rate limit for a server that this VM doesn't
+// have, so that this VM reports the next response without a limit.
 func (pool *Pool) WatchLimit(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -89,36 +93,37 @@
 	}
 }
 
-// OwnLimits returns what this VM tells others of limits: all that it knows, or what was said lately.
+// OwnLimitReports returns the reports of rate limits that this VM sends to others: all limits in
+// force, or only those observed recently.
 func (pool *Pool) OwnLimits(all bool) []Report {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
 	var reports []Report
 	for id, server := range pool.limits {
-		statement, _ := server.limit.Statement()
-		age := now.Sub(statement.At)
-		lately := age <= limitToldFor
-		if lately || (all && statement.Named) {
-			reports = append(reports, reportOf(id, statement, age))
+		advertisement, _ := server.limit.Statement()
+		age := now.Sub(advertisement.At)
+		isRecent := age <= limitToldFor
+		if isRecent || (all && advertisement.Named) {
+			reports = append(reports, reportOf(id, advertisement, age))
 		}
-		if !lately && !statement.Named {
+		if !isRecent && !advertisement.Named {
 			delete(pool.limits, id)
 		}
 	}
 	return reports
 }
 
-func reportOf(id string, statement backpressure.Statement, age time.Duration) Report {
+func reportOf(id string, advertisement backpressure.Statement, age time.Duration) Report {
 	report := Report{Server: id, Phase: PhaseOver, Health: HealthUnlimited, Age: age}
-	if statement.Named {
+	if advertisement.Named {
 		report.Health = HealthLimited
-		report.PerSecond = statement.PerSecond
+		report.PerSecond = advertisement.PerSecond
 	}
 	return report
 }
 
-// Limited returns how many servers named a limit that holds.
+// RateLimited returns the number of servers whose last response advertised a rate limit.
 func (pool *Pool) Limited() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -131,23 +136,24 @@
 	return limited
 }
 
-// limitsNow returns what bounds the requests to a server: the limit that it named, and what it bears while it is cold. All
-// of them must let a request through, so the smallest one binds.
+// activeLimits returns the limits on the requests to a server: the one that it advertised, and the
+// one of its cold start. A request must be within all of them, so the smallest one is effective.
 func (pool *Pool) limitsNow(server *server, now time.Time) []*backpressure.Limit {
 	var limits []*backpressure.Limit
 	if server.limit.Holds(now) {
 		limits = append(limits, &server.limit)
 	}
-	if cold := pool.coldNow(server, now); cold != nil {
-		limits = append(limits, &cold.limit)
+	if coldStart := pool.coldNow(server, now); coldStart != nil {
+		limits = append(limits, &coldStart.limit)
 	}
 	return limits
 }
 
-// withinLimits reports whether a server takes a request now of those who may use a share of what it takes.
+// withinLimits reports whether a server accepts a request now from a VM or coordinator that may use
+// the given share of the limits.
 func (pool *Pool) withinLimits(server *server, share func() float64, now time.Time) bool {
 	for _, limit := range pool.limitsNow(server, now) {
-		*limit = limit.WithLook(share(), rand.Float64(), now) //nolint:gosec // no secret
+		*limit = limit.WithLook(share(), rand.Float64(), now) //nolint:gosec // not security-sensitive
 		if !limit.Open(share(), now) {
 			return false
 		}
@@ -155,9 +161,9 @@
 	return true
 }
 
-// place puts a request at its server and counts it against what the server takes, unless it was told of so late that it may
-// have been counted before.
-func (pool *Pool) place(server *server, added *sending, now time.Time) {
+// insertAndCount adds an attempt to its server and counts it against the server's limits. Attempts
+// reported so late that they may have been counted before are not counted again.
+func (pool *Pool) place(server *server, added *attempt, now time.Time) {
 	server.add(added)
 	if now.Sub(added.sentAt) >= pool.settings.RemoteTime {
 		return
@@ -167,36 +173,37 @@
 	}
 }
 
-// takesBack notes that a request that counted does not go to the server.
+// refundLimits undoes the count of a request that is not sent to the server.
 func (server *server) takesBack() {
 	server.limit = server.limit.WithReturned()
-	if server.cold != nil {
-		server.cold.limit = server.cold.limit.WithReturned()
+	if server.coldStart != nil {
+		server.coldStart.limit = server.coldStart.limit.WithReturned()
 	}
 }
 
-// perSecond returns how many requests a second a server takes of those who may use a share, and reports false where
-// nothing bounds them.
+// perSecond returns how many requests per second a server accepts from a sender that may use the
+// given share of its limits, and false if no limit applies.
 func (pool *Pool) perSecond(server *server, share func() float64, now time.Time) (float64, bool) {
 	limits := pool.limitsNow(server, now)
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, limit := range limits {
-		least = min(least, limit.PerSecond(share(), now))
+		lowest = min(lowest, limit.PerSecond(share(), now))
 	}
-	return least, len(limits) > 0
+	return lowest, len(limits) > 0
 }
 
-// TakesPerSecond returns how many requests a second the servers of a service in those data centres take that want some from a
-// VM, and reports whether there are such and all of them named limits or are cold.
-func (pool *Pool) TakesPerSecond(service string, keptTo []string, vm string) (float64, bool) {
+// AcceptedRate returns how many requests per second a service's servers in the allowed data centres
+// accept for a VM, leaving out those that are in backoff for it. It reports false if there are no
+// such servers, or one of them has no limit.
+func (pool *Pool) TakesPerSecond(service string, allowed []string, vm string) (float64, bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
 	share := sync.OnceValue(pool.publisher.Share)
 	total := 0.0
 	for _, server := range pool.byService[service] {
-		_, rests := pool.rests.Over(vm, server.entry.ID, now)
-		if !server.in(keptTo) || !pool.takes(server, now) || rests {
+		_, inBackoff := pool.rests.Over(vm, server.entry.ID, now)
+		if !server.in(allowed) || !pool.takes(server, now) || inBackoff {
 			continue
 		}
 		perSecond, bounded := pool.perSecond(server, share, now)
--- a/internal/pool/list.go
+++ b/internal/pool/listener.go
@@ -13,14 +13,14 @@
 
 var _ follower.Listener[directory.Entry] = (*Pool)(nil)
 
-// packOrder names the order in which tight requests fill servers.
+// packOrderKey is the rendezvous key of the order in which requests with short event gaps fill the
+// servers.
 const packOrder = "pack"
 
-// toldByList says in log lines that something stands in the list of servers.
+// listSource names the server list as the source of a state, in log lines and in ServerStatus.
 const toldByList = "list"
 
-// Replace implements follower.Listener: servers that are not among values are
-// missing.
+// Replace implements follower.Listener: known servers that are not among values are marked missing.
 func (pool *Pool) Replace(values []follower.Change[directory.Entry]) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -62,8 +62,8 @@
 	pool.returned = pool.now()
 }
 
-// apply takes over an entry. One that is fresh was written a moment ago; others may have stood there for long, and how long
-// the server is cold counts from when it was first heard.
+// apply applies a change of a list entry. A fresh entry was written just now. Others may be old, so
+// the remaining time of their cold start counts from when it was first received.
 func (pool *Pool) apply(change follower.Change[directory.Entry], fresh bool) {
 	if change.Bad {
 		pool.spoil(change.Key)
@@ -74,15 +74,15 @@
 		return
 	}
 	entry := *change.Value
-	if before := pool.servers[pool.listed[change.Key]]; before != nil {
+	if previous := pool.servers[pool.listed[change.Key]]; previous != nil {
 		switch {
-		case entry.Started.IsZero(): // of the start that is there, as far as it tells
-			entry.ID, entry.Started = before.entry.ID, before.entry.Started
-		case entry.Started.Before(before.entry.Started):
-			return // told late, of an earlier start
-		case entry.ID != before.entry.ID:
-			before.replaced = true
-			pool.logger.Info("server started again", "server", before.entry.ID, "as", entry.ID)
+		case entry.Started.IsZero(): // no start time: taken for the current start
+			entry.ID, entry.Started = previous.entry.ID, previous.entry.Started
+		case entry.Started.Before(previous.entry.Started):
+			return // delayed entry of an earlier start
+		case entry.ID != previous.entry.ID:
+			previous.replaced = true
+			pool.logger.Info("server restarted", "server", previous.entry.ID, "as", entry.ID)
 		}
 	}
 	pool.listed[change.Key] = entry.ID
@@ -103,26 +103,27 @@
 	}
 	if entry.Leaving && !known.entry.Leaving {
 		known.leavingToldBy = toldByList
-		pool.logger.Info("server leaves", "server", entry.ID, "told_by", toldByList)
+		pool.logger.Info("server is draining", "server", entry.ID, "told_by", toldByList)
 	}
-	// A server that was leaving once never takes new work again.
+	// A draining server never accepts new requests again.
 	entry.Leaving = entry.Leaving || known.entry.Leaving
 	known.entry = entry
 	known.missingSince = time.Time{}
 	known.spoilt = false
 }
 
-// spoil notes that a server's entry cannot be read. Who wrote it is not known, nor whether the server is still
-// there: it gets nothing until its entry is good again.
+// markEntryInvalid records that a server's entry cannot be parsed. It is unknown who wrote the
+// entry and whether the server still exists, so the server gets no requests until its entry is
+// valid again.
 func (pool *Pool) spoil(key string) {
 	if known := pool.servers[pool.listed[key]]; known != nil {
 		known.spoilt = true
-		pool.logger.Warn("server not used, its entry is bad", "server", known.entry.ID)
+		pool.logger.Warn("server disabled: its list entry is invalid", "server", known.entry.ID)
 	}
 }
 
-// miss notes that a server is not listed any more. While the source is away,
-// and shortly after, entries lapse although their servers live.
+// markMissing records that a server is no longer listed. While the source of the list is
+// unavailable, and shortly after, entries expire although their servers still run.
 func (pool *Pool) miss(key string) {
 	id := pool.listed[key]
 	known := pool.servers[id]
@@ -130,25 +131,25 @@
 		return
 	}
 	known.missingSince = pool.now()
-	pool.logger.Info("server not listed", "server", id, "source_lost", pool.sourceLost)
+	pool.logger.Info("server missing from the list", "server", id, "source_lost", pool.sourceLost)
 }
 
-// gone reports whether a missing server counts as gone.
+// isGone reports whether a missing server counts as removed.
 func (pool *Pool) gone(server *server, now time.Time) bool {
 	if server.missingSince.IsZero() {
 		return false
 	}
-	unsure := pool.sourceLost || now.Before(pool.returned.Add(pool.settings.ReturnTime))
-	return !unsure
+	maybeStale := pool.sourceLost || now.Before(pool.returned.Add(pool.settings.ReturnTime))
+	return !maybeStale
 }
 
-// arrange drops servers that are gone, and orders the others.
+// rebuildIndex drops removed servers that have no attempts, and sorts the others by service.
 func (pool *Pool) arrange() {
 	now := pool.now()
 	maps.DeleteFunc(pool.listed, func(_, id string) bool { return pool.servers[id] == nil })
 	byService := make(map[string][]*server)
 	for id, server := range pool.servers {
-		if (server.replaced || pool.gone(server, now)) && len(server.sendings) == 0 {
+		if (server.replaced || pool.gone(server, now)) && len(server.attempts) == 0 {
 			delete(pool.servers, id)
 			delete(pool.limits, id)
 			continue
--- a/internal/pool/main_test.go
+++ b/internal/pool/main_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// TestMain makes the random checks the same in every run, unless the command
-// line gives another seed.
+// TestMain fixes the seed of the property tests, unless the command line sets another one.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // rapid has declared it
+	_ = flag.Set("rapid.seed", "1") // declared by the rapid package
 	flag.Parse()
 	os.Exit(m.Run())
 }
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -10,34 +10,35 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// TestMemoryThatNoVMTellsOf has a server with less memory left than is known of: what it has in use
-// besides counts here and at other VMs, until it would have lapsed.
-func TestMemoryThatNoVMTellsOf(t *testing.T) {
-	world, other := newWorld(), newWorld()
-	for _, pool := range []*pool.Pool{world.Pool, other.Pool} {
-		pool.Replace(listedUpTo(2))
+// TestUnreportedMemory guards against requests to a server without free memory: the server reports
+// less free memory than the known requests leave. The difference counts at this VM and at others
+// until a reservation would have expired.
+func TestUnreportedMemory(t *testing.T) {
+	fixture, other := newFixture(), newFixture()
+	for _, pool := range []*pool.Pool{fixture.Pool, other.Pool} {
+		pool.Replace(listedServers(2))
 	}
 	plan := placement.Plan{Server: placement.Server{ID: "s1"}, Shares: []int{50_000}}
-	use := world.Start(plan, placement.Request{Memory: 50_000})
-	world.NotFree(engines(), "s1", 50_000, 20_000)
-	use.Over()
-	other.Told("vm-1", world.published.reports)
-	assert.Equal(t, world.server(t, "s1").MemoryFree, 20_000)
+	activeRequest := fixture.Start(plan, placement.Request{Memory: 50_000})
+	fixture.NotFree(engines(), "s1", 50_000, 20_000)
+	activeRequest.Over()
+	other.Told("vm-1", fixture.publisher.reports)
+	assert.Equal(t, fixture.server(t, "s1").MemoryFree, 20_000)
 	assert.Equal(t, other.server(t, "s1").MemoryFree, 20_000)
-	assert.Equal(t, world.server(t, "s2").MemoryFree, memoryTokens)
-	world.Start(plan, placement.Request{Memory: 50_000})
-	world.NotFree(engines(), "s1", 50_000, 40_000)
-	assert.Equal(t, world.server(t, "s1").MemoryFree, -10_000, "what it asked for counts besides")
+	assert.Equal(t, fixture.server(t, "s2").MemoryFree, memoryTokens)
+	fixture.Start(plan, placement.Request{Memory: 50_000})
+	fixture.NotFree(engines(), "s1", 50_000, 40_000)
+	assert.Equal(t, fixture.server(t, "s1").MemoryFree, -10_000, "the request's own memory counts too")
 	for _, span := range []time.Duration{200, 400, 800, 1600, 3200, 3500, 3500} {
-		world.pass(span*time.Millisecond - time.Millisecond)
-		assert.Equal(t, world.server(t, "s1").MemoryFree, -10_000, "after %d ms", span)
-		world.pass(time.Millisecond)
-		assert.Equal(t, world.server(t, "s1").MemoryFree, memoryTokens-50_000, "it is tried again")
-		world.NotFree(engines(), "s1", 50_000, 40_000)
+		fixture.advance(span*time.Millisecond - time.Millisecond)
+		assert.Equal(t, fixture.server(t, "s1").MemoryFree, -10_000, "after %d ms", span)
+		fixture.advance(time.Millisecond)
+		assert.Equal(t, fixture.server(t, "s1").MemoryFree, memoryTokens-50_000, "the server is tried again")
+		fixture.NotFree(engines(), "s1", 50_000, 40_000)
 	}
-	world.pass(10 * time.Second)
-	world.NotFree(engines(), "s1", 50_000, 40_000)
-	world.pass(100 * time.Millisecond)
-	assert.Equal(t, world.server(t, "s1").MemoryFree, memoryTokens-50_000, "that was another time")
-	world.NotFree(engines(), "unknown", 1, 1)
+	fixture.advance(10 * time.Second)
+	fixture.NotFree(engines(), "s1", 50_000, 40_000)
+	fixture.advance(100 * time.Millisecond)
+	assert.Equal(t, fixture.server(t, "s1").MemoryFree, memoryTokens-50_000, "the period starts again at its minimum")
+	fixture.NotFree(engines(), "unknown", 1, 1)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool holds what a VM knows of the backend servers: the list, the
-// requests that all VMs have there, and how their answers came out.
+// Package pool tracks the backend servers as seen by one VM: the server list, the requests in
+// flight from all VMs, and the outcomes of requests.
 package pool
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// Pool is the backend servers. It listens to the list of servers.
+// Pool tracks the backend servers. It follows the server list as a follower.Listener, and is safe
+// for concurrent use.
 type Pool struct {
 	settings  Settings
 	vm        string
@@ -23,40 +24,44 @@
 	now       func() time.Time
 
 	mu sync.Mutex
-	// servers has the listed servers, those that are leaving, and those that
-	// are missing but may come back.
+	// servers has the listed servers by ID, and those that drain or are missing but may be listed
+	// again.
 	servers map[string]*server
-	// listed has the ID of the start that is there, by the key of the list.
+	// listed maps the key of a list entry to the ID of the server's current start.
 	listed map[string]string
-	// byService has the servers of each service in the order of packOrder.
+	// byService has the servers of each service in the order given by packOrderKey.
 	byService map[string][]*server
-	// sourceLost says that the list's source does not answer, and returned is
-	// when it last came back.
+	// sourceLost is set while the source of the list is unavailable, and sourceRegainedAt is when
+	// it last became available again.
 	sourceLost bool
 	returned   time.Time
-	// evacuated has the data centres whose servers get nothing, as the operator wishes.
+	// evacuated has the data centres that the operator has evacuated.
 	evacuated []string
-	own       map[uint64]*sending
-	rests     backpressure.Rests
-	// coldPerSecond has how many requests a second a cold server takes, by its service.
+	// own has the attempts of this VM's requests in flight, by ID.
+	own map[uint64]*attempt
+	// inBackoff has the servers in backoff, by the VM from which they accept nothing.
+	rests backpressure.Rests
+	// coldPerSecond has the requests per second that a cold server accepts, by service.
 	coldPerSecond map[string]float64
-	// limits has the servers that named limits, by their IDs, so that no look at all of them is needed to tell of these.
+	// limits has the servers with advertised rate limits by ID, so that reporting them takes no
+	// scan of all servers.
 	limits map[string]*server
-	// nextID starts anywhere, so that a VM that was started again is not taken
-	// for what it was before.
+	// nextID starts at a random number, so that attempts of a restarted VM are not taken for those
+	// from before its restart.
 	nextID uint64
-	// changed is closed, and replaced, when a server may have room again.
+	// changed is closed and replaced when a server may have capacity again.
 	changed chan struct{}
 }
 
-// Publisher tells other VMs of sendings.
+// Publisher sends reports about attempts and servers to other VMs.
 type Publisher interface {
 	Publish(report Report)
-	// Share returns the part of what servers take from all VMs together that may be used by this VM's decisions.
+	// Share returns the fraction, from zero to one, of the servers' rate limits that this VM may
+	// assign.
 	Share() float64
 }
 
-// New returns an empty pool of the VM with that name.
+// New returns an empty pool for the VM of that name.
 func New(settings Settings, vm string, publisher Publisher, logger *slog.Logger, now func() time.Time) *Pool {
 	return &Pool{
 		settings:  settings,
@@ -67,24 +72,23 @@
 		servers:   make(map[string]*server),
 		listed:    make(map[string]string),
 		byService: make(map[string][]*server),
-		own:       make(map[uint64]*sending),
+		own:       make(map[uint64]*attempt),
 		rests:     make(backpressure.Rests),
 		limits:    make(map[string]*server),
-		nextID:    rand.Uint64(), //nolint:gosec // no secret
+		nextID:    rand.Uint64(), //nolint:gosec // not security-sensitive
 		changed:   make(chan struct{}),
 	}
 }
 
-// Open returns the servers of a service that may get a request which went to
-// those in tried before. Servers that lapsed from the list while its source was
-// away count only while they are more than the listed ones: then the list is
-// not whole again yet, else they left.
+// Eligible returns the servers of a service that can get a request, except for those in tried.
+// Servers that expired from the list while its source was unavailable are included only while they
+// outnumber the listed ones: the list is then still incomplete. Otherwise they count as removed.
 func (pool *Pool) Open(service *catalog.Service, tried []string) []placement.Server {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
-	open := make([]placement.Server, 0, len(pool.byService[service.Name]))
-	var lapsed []placement.Server
+	eligible := make([]placement.Server, 0, len(pool.byService[service.Name]))
+	var expired []placement.Server
 	limited := 0
 	share := sync.OnceValue(pool.publisher.Share)
 	slow := pool.settings.SlowTimes * pool.usualPace(service, now)
@@ -97,57 +101,58 @@
 			limited++
 			continue
 		}
-		view := server.view(now, pool.settings)
-		view.Suspect = view.Suspect || server.currentPace(now, pool.settings) > slow
+		snapshot := server.snapshot(now, pool.settings)
+		snapshot.Suspect = snapshot.Suspect || server.currentPace(now, pool.settings) > slow
 		if service.Engine != nil {
-			view.MemoryFree += service.Engine.MemoryTokens
+			snapshot.MemoryFree += service.Engine.MemoryTokens
 		}
 		if server.missingSince.IsZero() {
-			open = append(open, view)
+			eligible = append(eligible, snapshot)
 			continue
 		}
-		lapsed = append(lapsed, view)
+		expired = append(expired, snapshot)
 	}
-	if len(lapsed) > len(open)+limited {
-		return append(open, lapsed...)
+	if len(expired) > len(eligible)+limited {
+		return append(eligible, expired...)
 	}
-	return open
+	return eligible
 }
 
-// Find returns servers of a service by their IDs, and the IDs of those that are not known here, are not in the data centres
-// that are named, or take nothing from this VM. That a server rests is told again, since who named it has not heard.
-func (pool *Pool) Find(service string, keptTo, ids []string) (found []placement.Server, missing []string) {
+// Find returns the servers of a service with the given IDs, and the IDs of those that are unknown,
+// outside of the allowed data centres, or not accepting requests from this VM. A server's backoff
+// is published again, since the VM that selected the server has not received it.
+func (pool *Pool) Find(service string, allowed, ids []string) (found []placement.Server, unavailable []string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
 	for _, id := range ids {
 		server := pool.servers[id]
-		if server == nil || server.entry.Service != service || !server.in(keptTo) || !pool.takes(server, now) {
-			missing = append(missing, id)
+		if server == nil || server.entry.Service != service || !server.in(allowed) || !pool.takes(server, now) {
+			unavailable = append(unavailable, id)
 			continue
 		}
-		if until, rests := pool.rests.Over(pool.vm, id, now); rests {
-			missing = append(missing, id)
+		if until, inBackoff := pool.rests.Over(pool.vm, id, now); inBackoff {
+			unavailable = append(unavailable, id)
 			pool.tellRest(id, until.Sub(now))
 			continue
 		}
-		found = append(found, server.view(now, pool.settings))
+		found = append(found, server.snapshot(now, pool.settings))
 	}
-	return found, missing
+	return found, unavailable
 }
 
-// takes reports whether a server may get requests.
+// acceptsRequests reports whether a server may get new requests.
 func (pool *Pool) takes(server *server, now time.Time) bool {
 	return !pool.isEvacuated(server) && pool.stays(server, now)
 }
 
-// stays reports whether a server may get requests but for an evacuation.
+// isUsable is acceptsRequests without regard to evacuations.
 func (pool *Pool) stays(server *server, now time.Time) bool {
-	out := server.entry.Leaving || server.closed || server.replaced || server.spoilt
-	return !out && !pool.gone(server, now)
+	excluded := server.entry.Leaving || server.closed || server.replaced || server.spoilt
+	return !excluded && !pool.gone(server, now)
 }
 
-// usualPace is the middle one of the paces of a service's servers, at least one.
+// medianPace is the median pace of a service's servers, at least one.
 func (pool *Pool) usualPace(service *catalog.Service, now time.Time) float64 {
 	servers := pool.byService[service.Name]
 	if len(servers) == 0 {
@@ -161,7 +166,8 @@
 	return max(1, paces[len(paces)/2])
 }
 
-// Changed returns a channel that is closed when a server may have room again.
+// Changed returns a channel that is closed when a server may have capacity again. Each close is for
+// one change: call Changed again before waiting for the next.
 func (pool *Pool) Changed() <-chan struct{} {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/pool/told.go
+++ b/internal/pool/reports.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Told takes over what another VM told of its requests.
+// ApplyReports applies the reports of another VM.
 func (pool *Pool) Told(vm string, reports []Report) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -16,7 +16,7 @@
 	}
 }
 
-// told takes over one report, and tells whether it may have made room.
+// applyReport applies one report, and reports whether it may have freed capacity.
 func (pool *Pool) told(vm string, report Report, now time.Time) bool {
 	if report.Phase == PhaseNone {
 		return false
@@ -29,12 +29,12 @@
 	if server == nil {
 		return false
 	}
-	for _, known := range server.sendings {
+	for _, known := range server.attempts {
 		if known.vm != vm || known.ID != report.ID {
 			continue
 		}
 		if report.Phase < known.Phase {
-			return false // told earlier, and late
+			return false // delayed report of an earlier phase
 		}
 		if report.Pace > 0 && report.Pace != known.Pace {
 			known.Pace = report.Pace
@@ -53,21 +53,21 @@
 		return advanced
 	}
 	if report.Phase != PhaseOver {
-		pool.place(server, &sending{
+		pool.place(server, &attempt{
 			Report: report, vm: vm, sentAt: now.Add(-report.Age), toldAt: now,
 		}, now)
 	}
 	return false
 }
 
-// forget drops what other VMs have not told of for too long.
+// dropExpired drops other VMs' attempts that were not reported for Settings.RemoteTime.
 func (pool *Pool) forget(server *server, now time.Time) {
-	oldest := now.Add(-pool.settings.RemoteTime)
-	kept := server.sendings[:0]
-	for _, sending := range server.sendings {
-		if sending.vm == pool.vm || !sending.toldAt.Before(oldest) {
-			kept = append(kept, sending)
+	expiry := now.Add(-pool.settings.RemoteTime)
+	kept := server.attempts[:0]
+	for _, attempt := range server.attempts {
+		if attempt.vm == pool.vm || !attempt.toldAt.Before(expiry) {
+			kept = append(kept, attempt)
 		}
 	}
-	server.sendings = kept
+	server.attempts = kept
 }
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -12,46 +12,47 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// server is what is known of one backend server.
+// server is the state of one start of a backend server.
 type server struct {
 	entry directory.Entry
-	// missingSince is when it was found not to be listed, or zero.
+	// missingSince is when the server was found missing from the list, or zero for a listed one.
 	missingSince time.Time
-	// spoilt says that its entry cannot be read now.
+	// entryInvalid is set while the server's list entry cannot be parsed.
 	spoilt bool
-	// replaced says that a later start of the server is listed.
+	// replaced is set once a later start of the server is listed.
 	replaced bool
-	// closed says that the address belongs to another server by now.
+	// closed is set once the server's address is found to belong to another server.
 	closed   bool
 	ejection ejection.State
-	// sendings has the requests of all VMs there, in the order of sending.
-	sendings []*sending
-	// limit is how many requests it takes from all VMs together.
+	// attempts has the requests of all VMs there, in the order of sending.
+	attempts []*attempt
+	// limit is the advertised limit on the requests from all VMs together.
 	limit backpressure.Limit
-	// cold is nil for a server that is warm.
-	cold *cold
-	// leavingToldBy is who first said that it leaves, or empty.
+	// coldStart is nil for a warm server.
+	coldStart *coldStart
+	// drainingReportedBy is the source that first reported the draining: a VM or listSource. It is
+	// empty for a server that is not draining.
 	leavingToldBy string
-	// watched says that another VM knows of a limit that this one does not.
+	// limitWatched is set while another VM has a rate limit for the server that this VM doesn't
+	// have.
 	watched bool
-	// pace is how long events took lately beside what was expected, and pacedAt
-	// when one came last.
+	// pace is the moving average of observed to expected time between events, and paceUpdatedAt is
+	// when the last value was added.
 	pace    float64
 	pacedAt time.Time
-	// lastRead is when a prompt was last known to be read.
+	// lastPrefillEnd is when the last known prefill ended.
 	lastRead time.Time
-	// hidden is the KV memory that the server has in use for what is not known here, in
-	// tokens, until hiddenUntil. hiddenFor is for how long it was to count when it was last
-	// told.
+	// hiddenMemory is the KV memory, in tokens, in use by requests that no VM has reported. It
+	// counts until hiddenUntil. hiddenDuration is the period for which it was last set to count.
 	hidden      int
 	hiddenFor   time.Duration
 	hiddenUntil time.Time
 }
 
-// view returns what a policy sees, MemoryFree being less than zero by what is
-// taken.
-func (server *server) view(now time.Time, settings Settings) placement.Server {
-	view := placement.Server{
+// snapshot returns the server as a placement policy sees it. MemoryFree is negative: minus the
+// memory in use, to which Pool.Eligible adds the engine's total.
+func (server *server) snapshot(now time.Time, settings Settings) placement.Server {
+	snapshot := placement.Server{
 		ID:         server.entry.ID,
 		Address:    server.entry.Address,
 		DataCentre: server.entry.DataCentre,
@@ -59,69 +60,69 @@
 		Suspect:    server.ejection.Ejected(now),
 		Limited:    server.limit.Named(),
 	}
-	free := server.lastRead
+	idleAt := server.lastRead
 	overdue := time.Duration(0)
-	for _, sending := range server.sendings {
-		if !sending.Helps {
-			view.Running++
-			view.MinGap = shorter(view.MinGap, sending.Gap)
-			addWeight(&view, sending)
+	for _, attempt := range server.attempts {
+		if !attempt.Helps {
+			snapshot.Running++
+			snapshot.MinGap = shorter(snapshot.MinGap, attempt.Gap)
+			addWeight(&snapshot, attempt)
 		}
-		view.MemoryFree -= sending.Memory
-		if sending.Phase == PhaseReading {
-			view.ReadsLong = view.ReadsLong || !sending.Tight
-			free = later(free, sending.sentAt).Add(sending.Work)
-			overdue = max(overdue, now.Sub(free)-settings.overdueAfter(sending.Work))
+		snapshot.MemoryFree -= attempt.Memory
+		if attempt.Phase == PhaseReading {
+			snapshot.ReadsLong = snapshot.ReadsLong || !attempt.Tight
+			idleAt = later(idleAt, attempt.sentAt).Add(attempt.Work)
+			overdue = max(overdue, now.Sub(idleAt)-settings.overdueAfter(attempt.Work))
 		}
 	}
-	// A server that owes first events for longer than usual is held up by what is
-	// not known here, and looks idle only by what is.
-	view.Backlog = max(0, free.Sub(now)) + overdue
+	// A server whose first events are overdue is delayed by work that is not reported here. By the
+	// reported work alone it would look idle.
+	snapshot.Backlog = max(0, idleAt.Sub(now)) + overdue
 	if now.Before(server.hiddenUntil) {
-		view.MemoryFree -= server.hidden
+		snapshot.MemoryFree -= server.hidden
 	}
-	return view
+	return snapshot
 }
 
-// addWeight counts what a request at the server is worth.
-func addWeight(view *placement.Server, sending *sending) {
-	weight := placement.Weight(sending.Memory)
-	if sending.Tight {
-		view.Tight++
-		view.TightWeight += weight
-		view.TightGap = shorter(view.TightGap, sending.Gap)
+// addWeight adds the weight of an attempt to the snapshot's sums.
+func addWeight(snapshot *placement.Server, attempt *attempt) {
+	weight := placement.Weight(attempt.Memory)
+	if attempt.Tight {
+		snapshot.Tight++
+		snapshot.TightWeight += weight
+		snapshot.TightGap = shorter(snapshot.TightGap, attempt.Gap)
 		return
 	}
-	view.LooseWeight += weight
-	view.LooseGap = shorter(view.LooseGap, sending.Gap)
+	snapshot.LooseWeight += weight
+	snapshot.LooseGap = shorter(snapshot.LooseGap, attempt.Gap)
 }
 
-// reading is what the server has to read of prompts without an event yet.
+// pendingPrefill is the total prefill time of the attempts without an event so far.
 func (server *server) reading() time.Duration {
 	var total time.Duration
-	for _, sending := range server.sendings {
-		if sending.Phase == PhaseReading {
-			total += sending.Work
+	for _, attempt := range server.attempts {
+		if attempt.Phase == PhaseReading {
+			total += attempt.Work
 		}
 	}
 	return total
 }
 
-// learnPace takes over how long one event took beside what was expected.
+// updatePace adds the ratio of observed to expected time of one event interval to the pace.
 func (server *server) learnPace(ratio float64, now time.Time, settings Settings) {
 	current := server.currentPace(now, settings)
 	server.pace = current + settings.PaceGain*(ratio-current)
 	server.pacedAt = now
 }
 
-// currentPace is the pace as it counts now. What is not seen any more returns
-// to one, so that a slow server is tried again.
+// currentPace is the pace as it counts now. Without new values it decays to one, so that a slow
+// server is tried again.
 func (server *server) currentPace(now time.Time, settings Settings) float64 {
 	if server.pacedAt.IsZero() {
 		return 1
 	}
-	halves := now.Sub(server.pacedAt).Seconds() / settings.PaceHalf.Seconds()
-	return 1 + (server.pace-1)*math.Exp2(-halves)
+	halfLives := now.Sub(server.pacedAt).Seconds() / settings.PaceHalf.Seconds()
+	return 1 + (server.pace-1)*math.Exp2(-halfLives)
 }
 
 func shorter(a, b time.Duration) time.Duration {
@@ -138,19 +139,20 @@
 	return b
 }
 
-// add puts a sending in its place.
-func (server *server) add(added *sending) {
-	at, _ := slices.BinarySearchFunc(server.sendings, added, func(a, b *sending) int {
+// insert adds an attempt in the order of sending.
+func (server *server) add(added *attempt) {
+	at, _ := slices.BinarySearchFunc(server.attempts, added, func(a, b *attempt) int {
 		return cmp.Or(a.sentAt.Compare(b.sentAt), 1)
 	})
-	server.sendings = slices.Insert(server.sendings, at, added)
+	server.attempts = slices.Insert(server.attempts, at, added)
 }
 
-func (server *server) remove(removed *sending) {
-	server.sendings = slices.DeleteFunc(server.sendings, func(sending *sending) bool { return sending == removed })
+func (server *server) remove(removed *attempt) {
+	server.attempts = slices.DeleteFunc(server.attempts, func(attempt *attempt) bool { return attempt == removed })
 }
 
-// in reports whether the server is in one of some data centres, or none is named.
+// inDataCentres reports whether the server is in one of the given data centres. An empty list
+// allows all.
 func (server *server) in(dataCentres []string) bool {
 	return len(dataCentres) == 0 || slices.Contains(dataCentres, server.entry.DataCentre)
 }
--- a/internal/pool/status.go
+++ b/internal/pool/server_status.go
@@ -8,25 +8,27 @@
 	"github.com/mastwinch/mastwinch/internal/backpressure"
 )
 
-// ServerStatus is what a VM knows of one start of a server, for operators.
+// ServerStatus is the state of one start of a server as seen by one VM, for operators.
 type ServerStatus struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	Listing    string `json:"listing"`
-	// Running is how many requests of all VMs that tell this one are there, parts of prompts left out.
+	// Running is the number of requests in flight from all VMs, without those that prefill a part
+	// of a prompt for another server.
 	Running int `json:"running"`
-	// Suspect says that recent answers were failures.
+	// Suspect is set after recent failures.
 	Suspect bool `json:"suspect"`
-	// LeavingToldBy is who first said that the server leaves: the list, or a VM that had its answer. It is empty where
-	// nobody did.
+	// DrainingReportedBy is the source that first reported the draining: "list" for the server
+	// list, or the VM that got the server's response. It is empty for a server that is not
+	// draining.
 	LeavingToldBy string `json:"leaving_told_by,omitempty"`
-	// Rests has from whom the server rests.
+	// Backoffs has the VMs from which the server accepts nothing now.
 	Rests []RestStatus `json:"rests,omitempty"`
-	// Limit is the limit that the server named, if it did.
+	// Limit is the advertised rate limit, or nil for none.
 	Limit *LimitStatus `json:"limit,omitempty"`
-	// ColdSeconds is for how much longer it is cold, or zero.
+	// ColdSeconds is the remaining time for which the server is cold, or zero.
 	ColdSeconds float64 `json:"cold_seconds,omitempty"`
 }
 
@@ -37,38 +39,41 @@
 	ListingReplaced = "replaced"
 	ListingSpoilt   = "entry is bad"
 	ListingClosed   = "address is another's"
-	// ListingEvacuated is that of a listed server whose data centre is evacuated.
+	// ListingEvacuated is for a listed server in an evacuated data centre.
 	ListingEvacuated = "evacuated"
 )
 
-// RestStatus is a rest of a server from one VM.
+// BackoffStatus is the remaining backoff of a server for one VM.
 type RestStatus struct {
 	VM      string  `json:"vm"`
 	Seconds float64 `json:"seconds"`
 }
 
-// LimitStatus is a limit of a server on the requests from all VMs.
+// LimitStatus is a server's limit on the requests from all VMs together.
 type LimitStatus struct {
 	PerSecond float64 `json:"per_second"`
-	// Lifted says that the server does not name it any more, and that load comes back.
+	// Lifted is set if the server no longer advertises the limit, and the load is being increased
+	// step by step.
 	Lifted bool `json:"lifted"`
-	// SaidSeconds is how long ago it was said.
+	// SaidSeconds is the time since the server last advertised the limit, or since the request
+	// whose response lifted it.
 	SaidSeconds float64 `json:"said_seconds"`
-	// Available is how many requests the server would take now of this VM's decisions. It is below zero after more than it takes.
+	// Available is the number of requests that this VM may assign to the server now. It is negative
+	// after the limit was exceeded.
 	Available float64 `json:"available"`
 }
 
-// Status returns what this VM knows of all servers, by service and ID.
+// Status returns the state of all servers, sorted by service and ID.
 func (pool *Pool) Status() []ServerStatus {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
 	list := make([]ServerStatus, 0, len(pool.servers))
 	for id, server := range pool.servers {
-		view := server.view(now, pool.settings)
+		snapshot := server.snapshot(now, pool.settings)
 		list = append(list, ServerStatus{
 			ID: id, Service: server.entry.Service, Address: server.entry.Address, DataCentre: server.entry.DataCentre,
-			Listing: pool.listing(server), Running: view.Running, Suspect: view.Suspect, LeavingToldBy: server.leavingToldBy,
+			Listing: pool.listing(server), Running: snapshot.Running, Suspect: snapshot.Suspect, LeavingToldBy: server.leavingToldBy,
 			Rests: pool.restsOf(id, now), Limit: limitStatus(server.limit, pool.publisher.Share(), now),
 			ColdSeconds: server.coldSeconds(now),
 		})
@@ -97,16 +102,16 @@
 }
 
 func (server *server) coldSeconds(now time.Time) float64 {
-	if server.cold == nil {
+	if server.coldStart == nil {
 		return 0
 	}
-	return max(0, server.cold.until.Sub(now).Seconds())
+	return max(0, server.coldStart.until.Sub(now).Seconds())
 }
 
 func (pool *Pool) restsOf(id string, now time.Time) []RestStatus {
 	var list []RestStatus
 	for vm := range pool.rests {
-		if until, rests := pool.rests.Over(vm, id, now); rests {
+		if until, inBackoff := pool.rests.Over(vm, id, now); inBackoff {
 			list = append(list, RestStatus{VM: vm, Seconds: until.Sub(now).Seconds()})
 		}
 	}
@@ -115,12 +120,12 @@
 }
 
 func limitStatus(limit backpressure.Limit, share float64, now time.Time) *LimitStatus {
-	statement, known := limit.Statement()
-	if !known || !limit.Holds(now) {
+	advertisement, found := limit.Statement()
+	if !found || !limit.Holds(now) {
 		return nil
 	}
 	return &LimitStatus{
-		PerSecond: statement.PerSecond, Lifted: !statement.Named, SaidSeconds: now.Sub(statement.At).Seconds(),
+		PerSecond: advertisement.PerSecond, Lifted: !advertisement.Named, SaidSeconds: now.Sub(advertisement.At).Seconds(),
 		Available: limit.Available(share, now),
 	}
 }
