--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,7 +1,8 @@
-// Package backpressure keeps what backend servers ask of those that send to them. It has no clock, lock or I/O: times
-// come in, and values go out.
+// Package backpressure holds the rate limits and backoffs that backend servers request of their
+// clients. It has no clock, lock or I/O: all times are arguments.
 //
-// What a server asks has a scope, and is kept for that: a Limit is of all VMs together, so the VM that decides counts it;
-// a rest is of the one VM that was asked, so Rests are kept by VM. Both are of one start of a server, whose ID they are
-// kept by. That a server leaves is of all VMs and has no end, and is a mark of its entry.
+// A RateLimit applies to the requests of all VMs together, so the coordinator counts them. A
+// backoff applies to a single VM, so Backoffs are kept by VM. Both belong to one start of a server
+// and are kept by its ID. Draining, in contrast, applies to all VMs and has no end, so it is a mark
+// of the server's list entry.
 package backpressure
