--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -7,16 +7,17 @@
 	"github.com/mastwinch/mastwinch/internal/fingerprint"
 )
 
-// Entry is a request that is kept from servers. It is immutable.
+// Entry is a request in quarantine, or one that was. It is immutable.
 type Entry struct {
 	Fingerprint fingerprint.Fingerprint
-	// Until is when it may be tried again.
+	// Until is the end of the quarantine.
 	Until time.Time
-	// Times counts how often it was found to be the cause, from one.
+	// Times is how often the request was found to be the cause of crashes, from one. Lifting the
+	// quarantine adds one too, so that the newer entry replaces the older at other VMs.
 	Times int
 }
 
-// duration returns for how long an entry is kept the nth time.
+// duration returns the length of the nth quarantine of a request.
 func (settings Settings) duration(times int) time.Duration {
 	duration := settings.Time
 	for range times - 1 {
@@ -25,71 +26,74 @@
 	return duration
 }
 
-// lift ends an entry that a good answer refutes: one that was under way when the request was kept from servers.
-func (book *Book) lift(request fingerprint.Fingerprint, now time.Time) {
-	entry, found := book.entries.Peek(request)
+// lift ends the quarantine of a request after a success, which can arrive for an attempt that was
+// in flight when the quarantine began.
+func (tracker *Book) lift(request fingerprint.Fingerprint, now time.Time) {
+	entry, found := tracker.entries.Peek(request)
 	if !found || !entry.Until.After(now) {
 		return
 	}
 	lifted := Entry{Fingerprint: request, Times: entry.Times + 1, Until: now}
-	book.enter(lifted)
-	book.found = append(book.found, lifted)
-	book.logger.Info("request is harmless", "fingerprint", request)
-	book.wake()
+	tracker.enter(lifted)
+	tracker.found = append(tracker.found, lifted)
+	tracker.logger.Info("request quarantine lifted after a success", "fingerprint", request)
+	tracker.wake()
 }
 
-// enter takes in an entry, unless it is known.
-func (book *Book) enter(entry Entry) {
-	if known, found := book.entries.Peek(entry.Fingerprint); found && known.Times >= entry.Times {
+// addEntry adds an entry, unless the known entry of the request is as new or newer.
+func (tracker *Book) enter(entry Entry) {
+	if known, found := tracker.entries.Peek(entry.Fingerprint); found && known.Times >= entry.Times {
 		return
 	}
-	book.entries.Add(entry.Fingerprint, entry)
-	if suspect, found := book.suspects.Peek(entry.Fingerprint); found {
+	tracker.entries.Add(entry.Fingerprint, entry)
+	if suspect, found := tracker.suspects.Peek(entry.Fingerprint); found {
 		suspect.entry = &entry
 	}
-	if !entry.Until.After(book.now()) {
+	if !entry.Until.After(tracker.now()) {
 		return
 	}
-	for watch := range book.watches[entry.Fingerprint] {
-		watch.call()
+	for watch := range tracker.watches[entry.Fingerprint] {
+		watch.notify()
 	}
 }
 
-// Told takes in entries of another VM.
-func (book *Book) Told(entries []Entry) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	now := book.now()
-	latest := now.Add(book.settings.TimeMax) // the clock of who wrote it may have been ahead
+// ApplyEntries adds entries reported by another VM or read from the store. Times too far in the
+// future are limited to Settings.TimeMax, and expired entries of unknown requests are ignored.
+func (tracker *Book) Told(entries []Entry) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	now := tracker.now()
+	latest := now.Add(tracker.settings.TimeMax) // the writer's clock may be ahead
 	for _, entry := range entries {
 		if entry.Until.After(latest) {
 			entry.Until = latest
 		}
-		if entry.Until.After(now) || book.entries.Contains(entry.Fingerprint) {
-			book.enter(entry)
+		if entry.Until.After(now) || tracker.entries.Contains(entry.Fingerprint) {
+			tracker.enter(entry)
 		}
 	}
 }
 
-// Entries returns the entries in force, the last ones first.
-func (book *Book) Entries() []Entry {
-	return book.entriesAfter(0)
+// Entries returns the entries in force, the newest first.
+func (tracker *Book) Entries() []Entry {
+	return tracker.entriesAfter(0)
 }
 
-// Tell returns what other VMs are to be told: the entries in force, and those that were until a moment ago, since
-// they may have been lifted.
-func (book *Book) Tell() []Entry {
-	return book.entriesAfter(-book.settings.Repeat)
+// PublishableEntries returns the entries to report to other VMs: those in force, and those that
+// ended within Settings.Repeat, since they may have been lifted.
+func (tracker *Book) Tell() []Entry {
+	return tracker.entriesAfter(-tracker.settings.Repeat)
 }
 
-// entriesAfter returns the entries with more than so much time left.
-func (book *Book) entriesAfter(left time.Duration) []Entry {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	now := book.now()
+// entriesAfter returns the entries whose remaining time is longer than the given one, the newest
+// first.
+func (tracker *Book) entriesAfter(remaining time.Duration) []Entry {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	now := tracker.now()
 	var entries []Entry
-	for _, entry := range book.entries.Values() {
-		if entry.Until.Sub(now) > left {
+	for _, entry := range tracker.entries.Values() {
+		if entry.Until.Sub(now) > remaining {
 			entries = append(entries, entry)
 		}
 	}
@@ -97,22 +101,23 @@
 	return entries
 }
 
-// Kept returns for how long a request is still kept from servers, or zero.
-func (book *Book) Kept(request fingerprint.Fingerprint) time.Duration {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	entry, found := book.entries.Peek(request)
+// Remaining returns the remaining time of a request's quarantine, or zero.
+func (tracker *Book) Kept(request fingerprint.Fingerprint) time.Duration {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	entry, found := tracker.entries.Peek(request)
 	if !found {
 		return 0
 	}
-	return max(0, entry.Until.Sub(book.now()))
+	return max(0, entry.Until.Sub(tracker.now()))
 }
 
-// OnTrial reports whether a request was kept from servers and may be tried again: at one server, since the next one would be
-// lost before the first loss is known.
-func (book *Book) OnTrial(request fingerprint.Fingerprint) bool {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	entry, found := book.entries.Peek(request)
-	return found && !entry.Until.After(book.now()) && !book.answered.Contains(request)
+// OnProbation reports whether a request's quarantine is over and no success is known since. Such a
+// request may be sent to one server at a time: a second one would be lost before the first loss is
+// known.
+func (tracker *Book) OnTrial(request fingerprint.Fingerprint) bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	entry, found := tracker.entries.Peek(request)
+	return found && !entry.Until.After(tracker.now()) && !tracker.successes.Contains(request)
 }
--- /dev/null
+++ b/internal/quarantine/evidence.go
@@ -0,0 +1,195 @@
+package quarantine
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+)
+
+// The reason for the loss of a server is not reported. All requests in flight there are suspects,
+// ten or more on a busy engine, and one of them or none is the cause. It is identified by these
+// rules:
+//
+//   - A request that crashes servers does so each time. A request that succeeded elsewhere is
+//     not the cause, unless more servers are lost under it than respond.
+//   - Servers that are lost without the request at the same moment, as in a wave of crashes or
+//     when a VM loses its connections, indicate another cause.
+//   - Of the requests on one server the cause is the one that was on the most lost servers,
+//     since other requests share only some of them by chance. A request without events of its
+//     response takes precedence over one with events.
+//
+// Nothing in this file has a clock, a lock or I/O.
+
+// crash is the loss of a server, caused by a request or for another reason.
+type crash struct {
+	server string
+	at     time.Time
+	// requests has the requests in flight on the server, each once.
+	requests []*suspect
+	// refuted is set if the server responded soon after, so it was not lost.
+	void bool
+}
+
+// suspect is a request that was in flight on servers when they were lost.
+type suspect struct {
+	fingerprint fingerprint.Fingerprint
+	// crashes has the losses, one for each start of a server, in the order of time.
+	crashes []*crash
+	// hadEvent is set if an event of the response arrived before one of the losses.
+	ran bool
+	// successes counts the successes, and is nil for none.
+	successes *successes
+	// entry is the last entry of the request, or nil.
+	entry *Entry
+}
+
+// successes is a count of a request's successes with exponential decay.
+type successes struct {
+	count float64
+	at    time.Time
+}
+
+// add counts one more success.
+func (successes *successes) add(now time.Time, half time.Duration) {
+	successes.count = 1 + successes.current(now, half)
+	successes.at = now
+}
+
+// current returns the decayed count.
+func (successes *successes) current(now time.Time, half time.Duration) float64 {
+	return successes.count * math.Exp2(-now.Sub(successes.at).Seconds()/half.Seconds())
+}
+
+// wasOn reports whether the request was in flight on the server of a crash.
+func (suspect *suspect) on(crash *crash) bool {
+	return slices.Contains(crash.requests, suspect)
+}
+
+// isAsLikely reports whether the request is at least as likely a cause as another one. A request
+// with a success is not: a frequent request is on each lost server too. A request with events is
+// less likely than one without, since engines crash before the first event.
+func (suspect *suspect) asLikely(other *suspect) bool {
+	return suspect.successes == nil && (!suspect.ran || other.ran)
+}
+
+// hasKnownCause reports whether the server had another request that is or was in quarantine.
+func (crash *crash) hasKnownCause(request *suspect) bool {
+	return slices.ContainsFunc(crash.requests, func(other *suspect) bool {
+		return other != request && other.entry != nil
+	})
+}
+
+// evidence is the input of an evaluation.
+type evidence struct {
+	// crashes has the losses of all servers in the order of time.
+	crashes  []*crash
+	now      time.Time
+	settings Settings
+}
+
+// isHarmful reports whether a request counts as the cause of the crashes under it.
+func (evidence evidence) harmful(request *suspect) bool {
+	if request.entry == nil && len(request.crashes) < evidence.settings.Limit {
+		return false // the case of almost all requests when many servers are lost at once
+	}
+	if evidence.cleared(request) {
+		return false
+	}
+	switch {
+	case request.successes != nil:
+		return evidence.blamed(request, evidence.unexplained) >= evidence.settings.Certain
+	case request.entry != nil:
+		return evidence.count(evidence.onTrial(request)) > 0
+	default:
+		// A wave of crashes cannot hide the request permanently.
+		return evidence.blamed(request, evidence.unexplained) >= evidence.settings.Limit ||
+			evidence.blamed(request, allCrashes) >= evidence.settings.Certain
+	}
+}
+
+// crashesOnProbation returns the crashes under a request after its quarantine that no wave
+// explains. Those with another known cause don't count.
+func (evidence evidence) onTrial(request *suspect) []*crash {
+	return without(evidence.unexplained(request), func(crash *crash) bool {
+		return !crash.at.After(request.entry.Until) || crash.hasKnownCause(request)
+	})
+}
+
+// isCleared reports whether a request has at least as many successes as crashes.
+func (evidence evidence) cleared(request *suspect) bool {
+	if request.successes == nil {
+		return false
+	}
+	decayedCount := request.successes.current(evidence.now, evidence.settings.GoodHalf)
+	return decayedCount >= float64(evidence.count(request.crashes))
+}
+
+// countBlamed counts the crashes under a request since its last quarantine, among those that
+// selected returns, for which no other request on the server is as likely and has as many of these.
+func (evidence evidence) blamed(request *suspect, selected func(request *suspect) []*crash) int {
+	own := selected(request)
+	ownMoments := evidence.count(own)
+	return evidence.count(without(own, func(crash *crash) bool {
+		if crash.hasKnownCause(request) || (request.entry != nil && !crash.at.After(request.entry.Until)) {
+			return true
+		}
+		return slices.ContainsFunc(crash.requests, func(other *suspect) bool {
+			return other != request && other.asLikely(request) && evidence.count(selected(other)) >= ownMoments
+		})
+	}))
+}
+
+func allCrashes(request *suspect) []*crash {
+	return request.crashes
+}
+
+// unexplainedCrashes returns the crashes under a request that no wave explains.
+func (evidence evidence) unexplained(request *suspect) []*crash {
+	return without(request.crashes, func(crash *crash) bool { return evidence.inWave(request, crash) })
+}
+
+// inWave reports whether a server without the request was lost at the same moment.
+func (evidence evidence) inWave(request *suspect, lost *crash) bool {
+	moment := evidence.settings.Moment
+	return slices.ContainsFunc(between(evidence.crashes, lost.at.Add(-moment), lost.at.Add(moment)), func(other *crash) bool {
+		return !other.void && !request.on(other)
+	})
+}
+
+// countMoments returns the number of distinct moments of crashes. Crashes within Settings.Moment of
+// each other are one moment. Those more recent than Settings.Settle are left out so far.
+func (evidence evidence) count(crashes []*crash) int {
+	latest := evidence.now.Add(-evidence.settings.Settle)
+	moments := 0
+	var last time.Time
+	for _, crash := range crashes {
+		if crash.at.After(latest) {
+			break
+		}
+		if crash.void || (moments > 0 && crash.at.Sub(last) <= evidence.settings.Moment) {
+			continue
+		}
+		moments++
+		last = crash.at
+	}
+	return moments
+}
+
+func compareTime(crash *crash, at time.Time) int {
+	return crash.at.Compare(at)
+}
+
+// between returns the crashes within a period, both ends included. The crashes must be in the order
+// of time.
+func between(crashes []*crash, from, until time.Time) []*crash {
+	first, _ := slices.BinarySearchFunc(crashes, from, compareTime)
+	last, _ := slices.BinarySearchFunc(crashes, until.Add(1), compareTime)
+	return crashes[first:last]
+}
+
+// without returns the crashes that don't match.
+func without(crashes []*crash, match func(crash *crash) bool) []*crash {
+	return slices.DeleteFunc(slices.Clone(crashes), match)
+}
--- /dev/null
+++ b/internal/quarantine/observation.go
@@ -0,0 +1,128 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+)
+
+// RecordLoss records that this VM just lost a server under a request. It sets loss.At.
+func (tracker *Book) Lost(loss Loss) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	loss.At = tracker.now()
+	tracker.own = append(tracker.recent(), loss)
+	tracker.note(loss)
+}
+
+// RecordRemoteLoss records a loss that another VM observed the given time ago.
+func (tracker *Book) LostElsewhere(loss Loss, age time.Duration) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	loss.At = tracker.now().Add(-age)
+	tracker.note(loss)
+}
+
+// RecentLosses returns the losses that this VM observed within Settings.Repeat, to be reported
+// repeatedly.
+func (tracker *Book) Own() []Loss {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	tracker.own = tracker.recent()
+	return slices.Clone(tracker.own)
+}
+
+func (tracker *Book) recent() []Loss {
+	oldest := tracker.now().Add(-tracker.settings.Repeat)
+	return slices.DeleteFunc(tracker.own, func(loss Loss) bool { return loss.At.Before(oldest) })
+}
+
+// RecordCompletion records the success of a request on a server. It lifts the quarantine of the
+// request and refutes recent losses of the server.
+func (tracker *Book) Served(request fingerprint.Fingerprint, server string) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	now := tracker.now()
+	count, found := tracker.successes.Get(request)
+	if !found {
+		count = &successes{at: now}
+		tracker.successes.Add(request, count)
+	}
+	count.add(now, tracker.settings.GoodHalf)
+	if suspect, found := tracker.suspects.Peek(request); found {
+		suspect.successes = count
+	}
+	tracker.lift(request, now)
+	for _, lost := range between(tracker.crashes, now.Add(-tracker.settings.Alive), now.Add(-tracker.settings.Settle)) {
+		lost.void = lost.void || lost.server == server
+	}
+}
+
+// addLoss adds a loss. It may be reported repeatedly.
+func (tracker *Book) note(loss Loss) {
+	tracker.forget()
+	lost := tracker.crashOf(loss)
+	known := tracker.suspect(loss.Fingerprint)
+	known.ran = known.ran || loss.Ran
+	if known.on(lost) {
+		return
+	}
+	lost.requests = append(lost.requests, known)
+	known.crashes = insert(known.crashes, lost)
+	tracker.wake()
+}
+
+func (tracker *Book) wake() {
+	select {
+	case tracker.changed <- struct{}{}:
+	default:
+	}
+}
+
+// crashFor returns the crash that a loss belongs to, and adds it if none is nearby in time: a server
+// may restart under its ID.
+func (tracker *Book) crashOf(loss Loss) *crash {
+	nearby := between(tracker.crashes, loss.At.Add(-tracker.settings.Alive), loss.At.Add(tracker.settings.Alive))
+	if at := slices.IndexFunc(nearby, func(crash *crash) bool { return crash.server == loss.Server }); at >= 0 {
+		return nearby[at]
+	}
+	lost := &crash{server: loss.Server, at: loss.At}
+	tracker.crashes = insert(tracker.crashes, lost)
+	return lost
+}
+
+// insertCrash inserts a crash in the order of time.
+func insert(crashes []*crash, added *crash) []*crash {
+	at, _ := slices.BinarySearchFunc(crashes, added.at, compareTime)
+	return slices.Insert(crashes, at, added)
+}
+
+func (tracker *Book) suspect(request fingerprint.Fingerprint) *suspect {
+	if known, found := tracker.suspects.Get(request); found {
+		return known
+	}
+	added := &suspect{fingerprint: request}
+	if count, found := tracker.successes.Peek(request); found && tracker.now().Sub(count.at) < tracker.settings.Memory {
+		added.successes = count
+	}
+	if entry, found := tracker.entries.Peek(request); found {
+		added.entry = &entry
+	}
+	tracker.suspects.Add(request, added)
+	return added
+}
+
+// dropOld drops crashes older than Settings.Memory, and the oldest ones beyond Settings.Crashes.
+func (tracker *Book) forget() {
+	oldest := tracker.now().Add(-tracker.settings.Memory)
+	drop := 0
+	for drop < len(tracker.crashes) && (tracker.crashes[drop].at.Before(oldest) || len(tracker.crashes)-drop > tracker.settings.Crashes) {
+		dropped := tracker.crashes[drop]
+		for _, suspect := range dropped.requests {
+			suspect.crashes = slices.DeleteFunc(suspect.crashes, func(crash *crash) bool { return crash == dropped })
+		}
+		drop++
+	}
+	tracker.crashes = slices.Delete(tracker.crashes, 0, drop)
+}
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -9,70 +9,71 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Run judges what is told until ctx is done. It reads the store unless that is empty, and waits for
-// it neither to judge nor to go on.
-func (book *Book) Run(ctx context.Context, empty bool) {
-	var storing sync.WaitGroup
-	defer storing.Wait()
+// Run evaluates new observations until ctx is done. It loads the entries of the store unless that is
+// known to be empty. Evaluations don't wait for the store.
+func (tracker *Book) Run(ctx context.Context, empty bool) {
+	var storeOperations sync.WaitGroup
+	defer storeOperations.Wait()
 	if !empty {
-		storing.Go(func() { book.load(ctx) })
+		storeOperations.Go(func() { tracker.load(ctx) })
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-book.changed:
+		case <-tracker.changed:
 		}
-		if !wait.For(ctx, book.settings.Settle) {
+		if !wait.For(ctx, tracker.settings.Settle) {
 			return
 		}
-		found := book.judge()
+		found := tracker.judge()
 		if len(found) == 0 {
 			continue
 		}
-		book.publisher.Announce(found)
+		tracker.publisher.Announce(found)
 		for _, entry := range found {
-			storing.Go(func() { book.keep(ctx, entry) })
+			storeOperations.Go(func() { tracker.keep(ctx, entry) })
 		}
 	}
 }
 
-// load takes in what the store has: all VMs may have been stopped at once, and the three servers that
-// an entry costs would be lost again.
-func (book *Book) load(ctx context.Context) {
+// load adds the entries of the store. All VMs may have been stopped at once, and finding the
+// entries again would cost three lost servers each.
+func (tracker *Book) load(ctx context.Context) {
 	for ctx.Err() == nil {
-		entries, err := book.store.List(ctx)
+		entries, err := tracker.store.List(ctx)
 		if err == nil {
-			book.Told(entries)
+			tracker.Told(entries)
 			return
 		}
-		book.logger.Warn("entries of the store not read", "error", err)
-		wait.For(ctx, book.settings.Retry)
+		tracker.logger.Warn("cannot read entries from the store; retrying", "error", err)
+		wait.For(ctx, tracker.settings.Retry)
 	}
 }
 
-// keep writes an entry to the store.
-func (book *Book) keep(ctx context.Context, entry Entry) {
+// storeEntry writes an entry to the store, and retries until ctx is done.
+func (tracker *Book) keep(ctx context.Context, entry Entry) {
 	for ctx.Err() == nil {
-		err := book.store.Put(ctx, entry)
+		err := tracker.store.Put(ctx, entry)
 		if err == nil {
 			return
 		}
-		book.logger.Warn("entry not kept in the store", "fingerprint", entry.Fingerprint, "error", err)
-		wait.For(ctx, book.settings.Retry)
+		tracker.logger.Warn("cannot write entry to the store; retrying", "fingerprint", entry.Fingerprint, "error", err)
+		wait.For(ctx, tracker.settings.Retry)
 	}
 }
 
-// Rewrite writes again what the store, which came back older, does not have any more. VMs look at moments of their own,
-// so that mostly the first one writes and the others find it there.
-func (book *Book) Rewrite(ctx context.Context) {
-	entries := book.Entries()
-	if len(entries) == 0 || !wait.For(ctx, rand.N(book.settings.Rewrite)) { //nolint:gosec // no secret
+// Rewrite restores the entries that are missing or older in a store that was restored from an older
+// state. VMs wait for a random time first, so that usually one VM writes the entries and the others
+// find them there.
+func (tracker *Book) Rewrite(ctx context.Context) {
+	entries := tracker.Entries()
+	if len(entries) == 0 || !wait.For(ctx, rand.N(tracker.settings.Rewrite)) { //nolint:gosec // not security-sensitive
 		return
 	}
-	stored, err := book.store.List(ctx)
-	for err != nil && wait.For(ctx, book.settings.Retry) {
-		stored, err = book.store.List(ctx)
+	stored, err := tracker.store.List(ctx)
+	for err != nil && wait.For(ctx, tracker.settings.Retry) {
+		stored, err = tracker.store.List(ctx)
 	}
 	times := make(map[fingerprint.Fingerprint]int, len(stored))
 	for _, entry := range stored {
@@ -80,7 +81,7 @@
 	}
 	for _, entry := range entries {
 		if times[entry.Fingerprint] < entry.Times {
-			book.keep(ctx, entry)
+			tracker.keep(ctx, entry)
 		}
 	}
 }
--- a/internal/quarantine/settings.go
+++ b/internal/quarantine/settings.go
@@ -2,51 +2,56 @@
 
 import "time"
 
-// Settings say when a request counts as the cause of lost servers, and for how long.
+// Settings define when a request counts as the cause of lost servers, and for how long it is
+// quarantined.
 type Settings struct {
-	// Limit is how many servers must be lost under a request that nothing else explains. The
-	// users allow three.
+	// Limit is the number of lost servers without another explanation that quarantine a request.
+	// The users allow three.
 	Limit int `yaml:"limit" validate:"min=1"`
-	// Certain is how many are enough whatever else may explain them, so that other crashes
-	// cannot hide a request that crashes servers. It leaves two sends of the three that the
-	// users allow after the third crash.
+	// Certain is the number of lost servers that quarantine a request whatever else may explain
+	// them, so that other crashes cannot hide a harmful request. It leaves two of the three
+	// attempts that the users allow after the third crash.
 	Certain int `yaml:"certain" validate:"gtefield=Limit"`
-	// Moment is how close losses are that may be one event: a server's connections break within some
-	// milliseconds, and those of all that are lost in a wave. Of one that crashes under a request to the next
-	// it takes longer, since each reads it first.
+	// Moment is the longest time between losses that count as one event: the connections of one
+	// server break within a few milliseconds, and so do those of all servers in a wave. Crashes
+	// caused by one request are further apart, since each server prefills the request first.
 	Moment time.Duration `yaml:"moment" validate:"min=0,max=1s"`
-	// Settle is after how long a loss counts. Until then VMs tell who was there, and of others lost at the same
-	// moment; whoever told first would be ahead of those that were there too.
+	// Settle is the delay after which a loss counts. Until then VMs report which requests were
+	// there, and which other servers were lost at the same moment. Without it the first reported
+	// request would be ahead of others on the same server.
 	Settle time.Duration `yaml:"settle" validate:"gtefield=Moment,max=1s"`
-	// Alive is within what time after its loss an answer of a server says that it was not lost.
-	// A server that crashed takes a second and more to start again.
+	// Alive is the time after a loss within which a response of the server refutes it. A server
+	// that crashed takes a second or more to restart.
 	Alive time.Duration `yaml:"alive" validate:"min=0,max=10s"`
-	// Time is for how long a request is first kept from servers. Then it is on trial: one more loss is
-	// enough, and each time doubles up to TimeMax. So a mistake ends by itself, and a request that does crash servers
-	// takes one to three in ten minutes, then fewer; an engine of the users is away for some seconds each time.
+	// Time is the first period of a quarantine. The request is then on probation: one more loss is
+	// enough for another quarantine, and each doubles the period up to TimeMax. So a wrong
+	// quarantine ends by itself, and a harmful request takes down one to three servers within ten
+	// minutes, then fewer. An engine of the users is then unavailable for some seconds.
 	Time    time.Duration `yaml:"time" validate:"min=1s"`
 	TimeMax time.Duration `yaml:"time_max" validate:"gtefield=Time"`
-	// Memory is for how long losses count, and good answers are remembered.
+	// Memory is for how long losses count and successes are remembered.
 	Memory time.Duration `yaml:"memory" validate:"min=1s"`
-	// GoodHalf is in what time good answers count half. While a request has as many of them as
-	// losses it is not their cause: one body that is much of the traffic is on each server that
-	// is lost, and ends well on all others.
+	// GoodHalf is the half-life of a success. A request with as many successes as losses is not the
+	// cause: a request that makes up much of the traffic is on each lost server, and succeeds on
+	// all others.
 	GoodHalf time.Duration `yaml:"good_half" validate:"min=100ms"`
-	// Suspects, Crashes, Answered and Entries bound what is remembered: requests on servers that were
-	// lost, those servers, requests that ended well, and requests kept from servers.
+	// Suspects, Crashes, Answered and Entries are the largest numbers of requests on lost servers,
+	// lost servers, succeeded requests and quarantined requests that are remembered.
 	Suspects int `yaml:"suspects" validate:"min=16"`
 	Crashes  int `yaml:"crashes" validate:"min=16"`
 	Answered int `yaml:"answered" validate:"min=16"`
 	Entries  int `yaml:"entries" validate:"min=1"`
-	// Repeat is for how long the losses that this VM saw are told again, since datagrams get lost.
+	// Repeat is for how long the losses observed by this VM are reported again, since datagrams may
+	// be lost.
 	Repeat time.Duration `yaml:"repeat" validate:"min=0"`
-	// Rewrite is the time over which VMs look what the store, which came back older, does not have any more.
+	// Rewrite is the period over which the VMs spread their checks of a store that was restored
+	// from an older state.
 	Rewrite time.Duration `yaml:"rewrite" validate:"min=10ms"`
-	// Retry is the pause after the store did not answer.
+	// Retry is the delay after a failed store operation.
 	Retry time.Duration `yaml:"retry" validate:"min=10ms"`
 }
 
-// DefaultSettings returns settings for the users' bounds.
+// DefaultSettings returns settings that fit the bounds required by the users.
 func DefaultSettings() Settings {
 	return Settings{
 		Limit:    3,
--- a/internal/quarantine/alone.go
+++ b/internal/quarantine/standalone.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Alone is for a process that shares what it sees with no other: it judges by itself, and keeps
-// nothing beyond its life.
+// Standalone is the Publisher and Store of a process that shares its observations with no other VM:
+// it evaluates them alone, and stores nothing.
 type Alone struct{}
 
 var (
@@ -11,7 +11,7 @@
 	_ Store     = Alone{}
 )
 
-// Judges implements Publisher.
+// Evaluates implements Publisher.
 func (Alone) Judges() bool { return true }
 
 // Announce implements Publisher.
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// Store is where entries outlast the VMs.
+// Store persists entries across restarts of the VMs.
 type Store interface {
-	// Put keeps an entry instead of an earlier one of the same request.
+	// Put writes an entry, and replaces an earlier one of the same request.
 	Put(ctx context.Context, entry Entry) error
-	// List returns the entries. What cannot be read is left out.
+	// List returns all entries, except for those that cannot be decoded.
 	List(ctx context.Context) ([]Entry, error)
 }
--- /dev/null
+++ b/internal/quarantine/tracker.go
@@ -0,0 +1,135 @@
+// Package quarantine identifies requests that crash servers, and keeps them from all servers for a
+// time.
+//
+// The state of a request in one VM ends with each attempt of its caller, who repeats it under
+// another ID at another VM. So requests are identified by their fingerprints, and the observations
+// of all VMs are evaluated together at the coordinators. A server is lost under a request if the
+// request was in flight there.
+package quarantine
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/golang-lru/v2/simplelru"
+
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+)
+
+// Tracker collects the losses of servers under requests, and the requests in quarantine. It is safe
+// for concurrent use.
+type Book struct {
+	settings  Settings
+	store     Store
+	publisher Publisher
+	logger    *slog.Logger
+	now       func() time.Time
+
+	mu sync.Mutex
+	// suspects has the requests on lost servers, the one with the latest loss last.
+	suspects *simplelru.LRU[fingerprint.Fingerprint, *suspect]
+	// successes has the requests that succeeded, the one with the latest success last.
+	successes *simplelru.LRU[fingerprint.Fingerprint, *successes]
+	// crashes has the lost servers in the order of time.
+	crashes []*crash
+	// own has the losses that this VM observed recently.
+	own []Loss
+	// entries has the requests that are in quarantine or lately were, the last added last.
+	entries *simplelru.LRU[fingerprint.Fingerprint, Entry]
+	// found has the new entries that are not published and stored so far.
+	found []Entry
+	// watches has the callbacks for the start of a request's quarantine.
+	watches map[fingerprint.Fingerprint]map[*watch]bool
+	// changed has an element while an evaluation is pending.
+	changed chan struct{}
+}
+
+// Publisher exchanges entries with other VMs.
+type Publisher interface {
+	// Evaluates reports whether this VM receives the observations of other VMs, and so evaluates
+	// them.
+	Judges() bool
+	// Announce sends new entries to all VMs immediately.
+	Announce(entries []Entry)
+}
+
+// Loss is the loss of a server while a request was in flight there.
+type Loss struct {
+	Fingerprint fingerprint.Fingerprint
+	// Server is the server's ID.
+	Server string
+	// HadEvent is set if an event of the response had arrived by then.
+	Ran bool
+	// At is when the server was lost.
+	At time.Time
+}
+
+// New returns an empty tracker.
+func New(settings Settings, store Store, publisher Publisher, logger *slog.Logger, now func() time.Time) *Book {
+	return &Book{
+		settings:  settings,
+		store:     store,
+		publisher: publisher,
+		logger:    logger,
+		now:       now,
+		suspects:  newLRU[*suspect](settings.Suspects),
+		successes: newLRU[*successes](settings.Answered),
+		entries:   newLRU[Entry](settings.Entries),
+		watches:   make(map[fingerprint.Fingerprint]map[*watch]bool),
+		changed:   make(chan struct{}, 1),
+	}
+}
+
+// newLRU returns an LRU cache with room for at least one element.
+func newLRU[V any](size int) *simplelru.LRU[fingerprint.Fingerprint, V] {
+	cache, err := simplelru.NewLRU[fingerprint.Fingerprint, V](max(1, size), nil)
+	if err != nil {
+		panic(err) // only for a size below one
+	}
+	return cache
+}
+
+// evaluate adds entries for the requests found to be harmful, provided that this VM receives the
+// observations of others. It returns the entries to publish.
+func (tracker *Book) judge() []Entry {
+	evaluates := tracker.publisher.Judges()
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if evaluates {
+		tracker.findHarmful(tracker.now())
+	}
+	found := tracker.found
+	tracker.found = nil
+	return found
+}
+
+func (tracker *Book) findHarmful(now time.Time) {
+	evidence := evidence{crashes: tracker.crashes, now: now, settings: tracker.settings}
+	for _, suspect := range tracker.suspects.Values() {
+		entry := suspect.entry
+		if entry != nil && now.Before(entry.Until) || !evidence.harmful(suspect) {
+			continue
+		}
+		times := 1
+		if entry != nil {
+			times += entry.Times
+		}
+		added := Entry{
+			Fingerprint: suspect.fingerprint, Times: times, Until: now.Add(tracker.settings.duration(times)),
+		}
+		tracker.enter(added)
+		tracker.logger.Warn("request quarantined", "fingerprint", added.Fingerprint, "times", times,
+			"lost", servers(suspect.crashes), "until", added.Until)
+		tracker.found = append(tracker.found, added)
+	}
+}
+
+// serverIDs returns the IDs of the servers that were lost.
+func servers(crashes []*crash) []string {
+	ids := make([]string, 0, len(crashes))
+	for _, crash := range crashes {
+		ids = append(ids, crash.server)
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/quarantine/tracker_test.go
@@ -0,0 +1,364 @@
+package quarantine_test
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"gotest.tools/v3/assert"
+
+	"github.com/mastwinch/mastwinch/internal/fingerprint"
+	"github.com/mastwinch/mastwinch/internal/quarantine"
+)
+
+// cause and bystander are requests, and step is a time longer than Settings.Moment and
+// Settings.Settle.
+const (
+	cause     = fingerprint.Fingerprint(1)
+	bystander = fingerprint.Fingerprint(2)
+	step      = 300 * time.Millisecond
+)
+
+var errUnavailable = errors.New("store is unavailable")
+
+// store is an in-memory store.
+type store struct {
+	mu          sync.Mutex
+	entries     []quarantine.Entry
+	unavailable bool
+}
+
+var _ quarantine.Store = (*store)(nil)
+
+func (store *store) Put(_ context.Context, entry quarantine.Entry) error {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.unavailable {
+		return errUnavailable
+	}
+	store.entries = append(store.entries, entry)
+	return nil
+}
+
+func (store *store) List(context.Context) ([]quarantine.Entry, error) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.unavailable {
+		return nil, errUnavailable
+	}
+	return store.entries, nil
+}
+
+func (store *store) count() int {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	return len(store.entries)
+}
+
+func (store *store) setUnavailable(unavailable bool) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.unavailable = unavailable
+}
+
+// publisher collects the announced entries. The VM evaluates if evaluates is set.
+type publisher struct {
+	evaluates bool
+
+	mu        sync.Mutex
+	announced []quarantine.Entry
+}
+
+var _ quarantine.Publisher = (*publisher)(nil)
+
+func (publisher *publisher) Judges() bool { return publisher.evaluates }
+
+func (publisher *publisher) Announce(entries []quarantine.Entry) {
+	publisher.mu.Lock()
+	defer publisher.mu.Unlock()
+	publisher.announced = append(publisher.announced, entries...)
+}
+
+func (publisher *publisher) count() int {
+	publisher.mu.Lock()
+	defer publisher.mu.Unlock()
+	return len(publisher.announced)
+}
+
+// fixture is a running tracker in virtual time.
+type fixture struct {
+	*quarantine.Book
+
+	settings  quarantine.Settings
+	store     *store
+	publisher *publisher
+	// next is the number of the last lost server.
+	next int
+}
+
+func withFixture(t *testing.T, store *store, test func(t *testing.T, fixture *fixture)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		fixture := &fixture{settings: quarantine.DefaultSettings(), store: store, publisher: &publisher{evaluates: true}}
+		fixture.Book = quarantine.New(fixture.settings, store, fixture.publisher, slog.New(slog.DiscardHandler), time.Now)
+		ctx, stop := context.WithCancel(t.Context())
+		ended := make(chan struct{})
+		go func() {
+			defer close(ended)
+			fixture.Run(ctx, false)
+		}()
+		defer func() {
+			stop()
+			<-ended
+		}()
+		test(t, fixture)
+	})
+}
+
+// lose records the loss of a server under requests, and waits until it counts as a moment of its
+// own.
+func (fixture *fixture) lose(server int, requests ...fingerprint.Fingerprint) {
+	for _, request := range requests {
+		fixture.Lost(quarantine.Loss{Fingerprint: request, Server: fmt.Sprintf("s%d", server)})
+	}
+	time.Sleep(step)
+}
+
+// loseEach records the losses of so many servers under requests, one after the other.
+func (fixture *fixture) loseEach(count int, requests ...fingerprint.Fingerprint) {
+	for range count {
+		fixture.next++
+		fixture.lose(fixture.next, requests...)
+	}
+}
+
+// loseInWaves records the losses of so many servers under the cause, each at the same moment as
+// another server without it.
+func (fixture *fixture) loseInWaves(count int) {
+	for range count {
+		fixture.next += 2
+		fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", fixture.next)})
+		fixture.lose(fixture.next+1, bystander+fingerprint.Fingerprint(fixture.next))
+	}
+}
+
+// TestCauseIsQuarantined guards against quarantining harmless requests on lost servers, and against
+// missing the harmful one.
+func TestCauseIsQuarantined(t *testing.T) {
+	for name, test := range map[string]struct {
+		action func(fixture *fixture)
+		want   bool
+	}{
+		"two losses":   {action: func(fixture *fixture) { fixture.loseEach(2, cause) }},
+		"three losses": {want: true, action: func(fixture *fixture) { fixture.loseEach(3, cause) }},
+		"some losses reported by another VM": {want: true, action: func(fixture *fixture) {
+			fixture.lose(1, cause)
+			fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s2"}, 20*time.Millisecond)
+			time.Sleep(step)
+			fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s3"}, 20*time.Millisecond)
+			time.Sleep(step)
+		}},
+		"one loss reported three times": {action: func(fixture *fixture) {
+			for range 3 {
+				fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s1"}, 0)
+				time.Sleep(step)
+			}
+		}},
+		"losses of a server that restarts under its ID": {want: true, action: func(fixture *fixture) {
+			for range 3 {
+				fixture.lose(1, cause)
+				time.Sleep(2 * time.Second)
+			}
+		}},
+		"a VM loses all its connections at once": {action: func(fixture *fixture) {
+			for server := range 8 {
+				fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", server)})
+			}
+			time.Sleep(step)
+		}},
+		"four losses at the same moments as servers without the request": {action: func(fixture *fixture) { fixture.loseInWaves(4) }},
+		"five losses at the same moments as servers without the request": {want: true, action: func(fixture *fixture) { fixture.loseInWaves(5) }},
+		"old success and four losses": {action: func(fixture *fixture) {
+			fixture.Served(cause, "s99")
+			time.Sleep(time.Minute)
+			fixture.loseEach(4, cause)
+		}},
+		"old success and five losses": {want: true, action: func(fixture *fixture) {
+			fixture.Served(cause, "s99")
+			time.Sleep(time.Minute)
+			fixture.loseEach(5, cause)
+		}},
+		"more successes than losses": {action: func(fixture *fixture) {
+			for range 20 {
+				fixture.Served(cause, "s99")
+				fixture.Served(cause, "s98")
+				fixture.loseEach(1, cause)
+			}
+		}},
+		"servers respond right after their losses": {action: func(fixture *fixture) {
+			for server := range 5 {
+				fixture.lose(server, cause)
+				fixture.Served(bystander, fmt.Sprintf("s%d", server))
+			}
+		}},
+		"another request is the cause": {action: func(fixture *fixture) {
+			fixture.loseEach(1, bystander)
+			fixture.loseEach(3, bystander, cause)
+		}},
+		"losses far apart": {action: func(fixture *fixture) {
+			for range 5 {
+				fixture.loseEach(1, cause)
+				time.Sleep(fixture.settings.Memory / 2)
+			}
+		}},
+		"VM that doesn't evaluate": {action: func(fixture *fixture) {
+			fixture.publisher.evaluates = false
+			fixture.loseEach(6, cause)
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+				test.action(fixture)
+				assert.Equal(t, fixture.Kept(cause) > 0, test.want)
+				assert.Equal(t, fixture.publisher.count() > 0, len(fixture.Entries()) > 0)
+			})
+		})
+	}
+}
+
+// TestBystander guards against quarantining a harmless request that was on almost as many lost
+// servers as the cause.
+func TestBystander(t *testing.T) {
+	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+		fixture.loseEach(3, cause, bystander)
+		assert.Equal(t, fixture.Kept(cause), time.Duration(0), "either may be the cause")
+		fixture.loseEach(1, cause)
+		assert.Assert(t, fixture.Kept(cause) > 0)
+		fixture.loseEach(2, bystander)
+		assert.Equal(t, fixture.Kept(bystander), time.Duration(0), "the cause explains three of five losses")
+	})
+}
+
+// TestRequestWithEventsIsBystander guards against quarantining a request that had events of its
+// response on each lost server, and against sparing the cause, which never had, because of it.
+func TestRequestWithEventsIsBystander(t *testing.T) {
+	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+		for server := range 3 {
+			name := fmt.Sprintf("s%d", server)
+			fixture.Lost(quarantine.Loss{Fingerprint: bystander, Server: name, Ran: true})
+			fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: name})
+			time.Sleep(step)
+		}
+		assert.Assert(t, fixture.Kept(cause) > 0)
+		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+	})
+}
+
+// TestProbation guards against a harmful request that crashes three more servers after each quarantine: one
+// more loss starts another one of double length.
+func TestProbation(t *testing.T) {
+	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+		fixture.loseEach(3, cause)
+		assert.Assert(t, !fixture.OnTrial(cause))
+		time.Sleep(fixture.settings.Time)
+		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		assert.Equal(t, len(fixture.Entries()), 0)
+		assert.Assert(t, fixture.OnTrial(cause))
+		fixture.loseEach(1, cause, bystander)
+		assert.Assert(t, fixture.Kept(cause) > 2*fixture.settings.Time-step)
+		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+		assert.Equal(t, fixture.Entries()[0].Times, 2)
+	})
+}
+
+// TestEntriesSurviveRestart guards against losing entries when a VM restarts, or when the store is
+// unavailable as an entry is written or a VM starts.
+func TestEntriesSurviveRestart(t *testing.T) {
+	stored := &store{}
+	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
+		stored.setUnavailable(true)
+		fixture.loseEach(3, cause)
+		assert.Assert(t, fixture.Kept(cause) > 0, "independent of the store")
+		time.Sleep(time.Second)
+		stored.setUnavailable(false)
+		time.Sleep(time.Second)
+		assert.Equal(t, stored.count(), 1)
+	})
+	stored.setUnavailable(true)
+	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
+		time.Sleep(time.Second)
+		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		stored.setUnavailable(false)
+		time.Sleep(time.Second)
+		assert.Assert(t, fixture.Kept(cause) > 0)
+	})
+}
+
+// TestSuccessLiftsQuarantine guards against a wrong quarantine that stays in force at any VM or in
+// the store after the success of an attempt that was in flight when it began.
+func TestSuccessLiftsQuarantine(t *testing.T) {
+	stored := &store{}
+	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
+		fixture.loseEach(3, cause)
+		assert.Assert(t, fixture.Kept(cause) > 0)
+		fixture.Served(cause, "s99")
+		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		time.Sleep(step)
+		assert.Equal(t, fixture.publisher.count(), 2)
+		assert.Equal(t, stored.count(), 2)
+		lifted := fixture.Tell()[0]
+		assert.Equal(t, lifted.Times, 2)
+		other := quarantine.New(fixture.settings, stored, fixture.publisher, slog.New(slog.DiscardHandler), time.Now)
+		other.Told([]quarantine.Entry{{Fingerprint: cause, Until: time.Now().Add(time.Minute), Times: 1}})
+		other.Told([]quarantine.Entry{lifted})
+		assert.Equal(t, other.Kept(cause), time.Duration(0))
+	})
+}
+
+// TestWatch guards against requests in flight that are not notified of their quarantine, or more
+// than once, also when another VM found the cause.
+func TestWatch(t *testing.T) {
+	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+		notifications := 0
+		stop := fixture.Watch(cause, func() { notifications++ })
+		defer fixture.Watch(bystander, func() { t.Error("another request") })()
+		entry := quarantine.Entry{Fingerprint: cause, Until: time.Now().Add(time.Minute), Times: 1}
+		fixture.Told([]quarantine.Entry{entry, entry})
+		assert.Equal(t, notifications, 1)
+		stop()
+		entry.Times = 2
+		fixture.Told([]quarantine.Entry{entry})
+		assert.Equal(t, notifications, 1)
+	})
+}
+
+// TestRemoteEntryTimesAreLimited guards against overlong quarantines by the wrong clock of another
+// VM, and against expired entries.
+func TestRemoteEntryTimesAreLimited(t *testing.T) {
+	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
+		fixture.Told([]quarantine.Entry{
+			{Fingerprint: cause, Until: time.Now().AddDate(1, 0, 0), Times: 1},
+			{Fingerprint: bystander, Until: time.Now().Add(-time.Second), Times: 1},
+		})
+		assert.Equal(t, fixture.Kept(cause), fixture.settings.TimeMax)
+		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+	})
+}
+
+// BenchmarkRecordRemoteLoss measures the losses of different requests at a coordinator, with
+// bounded memory.
+func BenchmarkRecordRemoteLoss(b *testing.B) {
+	tracker := quarantine.New(quarantine.DefaultSettings(), &store{}, &publisher{}, slog.New(slog.DiscardHandler), time.Now)
+	number := uint64(0)
+	for b.Loop() {
+		number++
+		tracker.LostElsewhere(quarantine.Loss{
+			Fingerprint: fingerprint.Fingerprint(number), Server: fmt.Sprintf("s%d", number/16),
+		}, 0)
+	}
+}
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -2,28 +2,29 @@
 
 import "github.com/mastwinch/mastwinch/internal/fingerprint"
 
-// watch is a call that waits for an entry.
+// watch is the callback of one Watch.
 type watch struct {
-	call func()
+	notify func()
 }
 
-// Watch calls once a request is kept from servers, until stop is called. So one that waits, or that a
-// server has not begun to run, goes no further: without it those under way when the cause is found
-// crash their servers too. The call must not block.
-func (book *Book) Watch(request fingerprint.Fingerprint, call func()) (stop func()) {
-	added := &watch{call: call}
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	if book.watches[request] == nil {
-		book.watches[request] = make(map[*watch]bool)
+// Watch calls notify when a request is quarantined, until stop is called. It ends a request that is
+// queued, or that a server has not begun to run: otherwise the attempts in flight when the cause is
+// found crash their servers too. The tracker's lock is held during the call, so notify must not
+// block or call the tracker.
+func (tracker *Book) Watch(request fingerprint.Fingerprint, notify func()) (stop func()) {
+	added := &watch{notify: notify}
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if tracker.watches[request] == nil {
+		tracker.watches[request] = make(map[*watch]bool)
 	}
-	book.watches[request][added] = true
+	tracker.watches[request][added] = true
 	return func() {
-		book.mu.Lock()
-		defer book.mu.Unlock()
-		delete(book.watches[request], added)
-		if len(book.watches[request]) == 0 {
-			delete(book.watches, request)
+		tracker.mu.Lock()
+		defer tracker.mu.Unlock()
+		delete(tracker.watches[request], added)
+		if len(tracker.watches[request]) == 0 {
+			delete(tracker.watches, request)
 		}
 	}
 }
