--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/state_test.go
@@ -9,6 +9,8 @@
 	"github.com/mastwinch/mastwinch/internal/ejection"
 )
 
+// TestState guards against ejections that begin too early, last too long or don't end after a success,
+// and against more than one probe at a time.
 func TestState(t *testing.T) {
 	limits := ejection.Limits{After: 2, Time: time.Second, TimeMax: 3 * time.Second}
 	start := time.Unix(0, 0)
@@ -18,12 +20,12 @@
 	assert.Assert(t, state.Ejected(start.Add(999*time.Millisecond)))
 	assert.Assert(t, !state.Ejected(start.Add(time.Second)))
 	state.Try(start.Add(time.Second), limits)
-	assert.Assert(t, state.Ejected(start.Add(1500*time.Millisecond)), "one trial at a time")
+	assert.Assert(t, state.Ejected(start.Add(1500*time.Millisecond)), "only one probe at a time")
 	for range 5 {
 		state.Failed(start, limits)
 	}
 	assert.Assert(t, state.Ejected(start.Add(2999*time.Millisecond)))
-	assert.Assert(t, !state.Ejected(start.Add(3*time.Second)), "no longer than the most")
+	assert.Assert(t, !state.Ejected(start.Add(3*time.Second)), "no longer than TimeMax")
 	state.Succeeded()
 	assert.Assert(t, !state.Failed(start, limits))
 }
