--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is the operator's configuration as the gateway uses it:
-// routes, services, organisations by their keys, and limits. A catalog is
-// immutable; a new version is a new catalog.
+// Package catalog indexes the operator's configuration for the gateway: routes, services,
+// organisations by key, and client limits. A catalog is immutable: each version of the
+// configuration has its own.
 package catalog
 
 import (
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Configuration is one version of what the operator set.
+// Configuration is one version of the operator's configuration.
 type Configuration struct {
-	// Version rises with each change, by uneven steps.
+	// Version increases with each change, not necessarily by one.
 	Version       int64
 	Routes        []Route
 	Services      []Service
@@ -18,18 +18,19 @@
 	Limits        Limits
 }
 
-// Catalog answers questions about one configuration.
+// Catalog indexes one configuration. It is immutable and safe for concurrent use.
 type Catalog struct {
 	configuration Configuration
-	// byHost has the routes of each host, longest prefix first.
+	// byHost has the routes by normalised host, longest prefix first.
 	byHost   map[string][]*Route
 	services map[string]*Service
-	// byKey has the organisations by the hash of each key, so that looking a
-	// key up takes no time that depends on other keys.
+	// byKey has the organisations by the hash of each key, so that the duration of a lookup reveals
+	// nothing about other keys.
 	byKey map[[sha256.Size]byte]*Organisation
 }
 
-// New returns the catalog of a configuration, which it keeps.
+// New returns the catalog of a configuration. It keeps the configuration's slices, and sets
+// Service.ShortestGap in them.
 func New(configuration Configuration) *Catalog {
 	catalog := &Catalog{
 		configuration: configuration,
@@ -64,12 +65,13 @@
 	return catalog.configuration.Version
 }
 
-// Limits returns what bounds clients.
+// Limits returns the limits on client connections and requests.
 func (catalog *Catalog) Limits() Limits {
 	return catalog.configuration.Limits
 }
 
-// Route returns the route of the host with the longest prefix of path.
+// Route returns the route of a host with the longest prefix that matches the path, and false if
+// none matches.
 func (catalog *Catalog) Route(host, path string) (*Route, bool) {
 	for _, route := range catalog.byHost[normalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -79,34 +81,35 @@
 	return nil, false
 }
 
-// Routes returns all routes.
+// Routes returns all routes. The caller must not modify them.
 func (catalog *Catalog) Routes() []Route {
 	return catalog.configuration.Routes
 }
 
-// Service returns the service of that name.
+// Service returns the service of that name, and false if there is none.
 func (catalog *Catalog) Service(name string) (*Service, bool) {
 	service, ok := catalog.services[name]
 	return service, ok
 }
 
-// Services returns all services.
+// Services returns all services. The caller must not modify them.
 func (catalog *Catalog) Services() []Service {
 	return catalog.configuration.Services
 }
 
-// Organisation returns the organisation that holds key.
+// Organisation returns the organisation that the key belongs to, and false for an unknown key.
 func (catalog *Catalog) Organisation(key string) (*Organisation, bool) {
 	organisation, ok := catalog.byKey[sha256.Sum256([]byte(key))]
 	return organisation, ok
 }
 
-// HasOrganisations reports whether requests need a key.
+// HasOrganisations reports whether any organisation is configured, so that requests need a key
+// unless their route allows anonymous ones.
 func (catalog *Catalog) HasOrganisations() bool {
 	return len(catalog.configuration.Organisations) > 0
 }
 
-// normalHost is the host without its port, in lower case.
+// normaliseHost returns the host without its port, in lower case.
 func normalHost(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
--- a/internal/catalog/organisation.go
+++ b/internal/catalog/organisation.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Organisation is a customer, known by its keys.
+// Organisation is a customer, identified by its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's. It is nil when none is set.
+	// Priority overrides the route's priority, or is nil for none.
 	Priority *int
-	// Regions go beside the route's: both hold.
+	// Regions restrict the organisation's requests, in addition to the route's regions.
 	Regions Regions
 }
 
-// Limits bound what a client may send.
+// Limits are the limits on clients.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is the longest time for sending a head.
+	// HeaderTimeout is the time limit for receiving the header of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
 }
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// Kind says what may be done with requests of a route.
+// Kind is the delivery guarantee of a route's requests.
 type Kind string
 
-// Kinds of route.
+// Values of Kind.
 const (
-	// KindStream answers with a series of events.
+	// KindStream requests are answered by a stream of events.
 	KindStream Kind = "stream"
-	// KindRepeatable may run more than once.
+	// KindRepeatable requests may run more than once.
 	KindRepeatable Kind = "repeatable"
-	// KindOnce runs at most once.
+	// KindOnce requests run at most once.
 	KindOnce Kind = "once"
 )
 
-// Route says how requests to a part of a host are handled.
+// Route configures the requests to one path prefix of a host.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time for which a request is held.
+	// Timeout is the longest time for which the gateway keeps a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is in time.
+	// Objective is the objective for the time to the response or, for a stream, to its first event.
 	Objective time.Duration
-	// Gap is the longest pause between events of a stream that is in time.
+	// Gap is the objective for the time between two events of a stream, or zero for none.
 	Gap time.Duration
-	// Priority is the rank of the route, zero being the most urgent.
+	// Priority is the priority of the route's requests. Zero is the most urgent.
 	Priority int
-	// MaxAttempts is the most servers that may run one request.
+	// MaxAttempts is the largest number of servers that may run one request.
 	MaxAttempts int
-	// Anonymous says that requests need no key.
+	// Anonymous is set if requests need no key.
 	Anonymous bool
-	// Resumable says that a stream may go on at another server.
+	// Resumable is set if another server may resume a stream.
 	Resumable bool
 	Regions   Regions
-	// Targets is never empty.
+	// Targets are the services that share the requests by weight. At least one is set.
 	Targets []Target
 }
 
-// Target is one service that gets a part of the requests of a route.
+// Target is a service that gets a fraction of the requests of a route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable reports whether a request may run again after it may have run.
+// Repeatable reports whether a request may run again after an attempt whose outcome is unknown.
 func (route *Route) Repeatable() bool {
 	return route.Kind == KindRepeatable || (route.Kind == KindStream && route.Resumable)
 }
 
-// Target returns the service for a number from zero up to one.
+// Target returns the name of the service for a uniformly distributed number from zero up to, but
+// not including, one.
 func (route *Route) Target(fraction float64) string {
-	total := 0
+	totalWeight := 0
 	for _, target := range route.Targets {
-		total += target.Weight
+		totalWeight += target.Weight
 	}
-	left := int(fraction * float64(total))
+	remaining := int(fraction * float64(totalWeight))
 	for _, target := range route.Targets {
-		left -= target.Weight
-		if left < 0 {
+		remaining -= target.Weight
+		if remaining < 0 {
 			return target.Service
 		}
 	}
 	return route.Targets[len(route.Targets)-1].Service
 }
 
-// shortestGap is the shortest pause that is in time among the routes to a service, or zero.
+// shortestGap returns the smallest Gap of the routes to a service, or zero if none has one.
 func shortestGap(routes []Route, service string) time.Duration {
 	var shortest time.Duration
 	for i := range routes {
 		route := &routes[i]
-		leads := slices.ContainsFunc(route.Targets, func(target Target) bool { return target.Service == service })
-		if leads && route.Gap > 0 && (shortest == 0 || route.Gap < shortest) {
+		matches := slices.ContainsFunc(route.Targets, func(target Target) bool { return target.Service == service })
+		if matches && route.Gap > 0 && (shortest == 0 || route.Gap < shortest) {
 			shortest = route.Gap
 		}
 	}
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// Service is a group of like backend servers.
+// Service is a group of equivalent backend servers.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections one server takes from all VMs
-	// together.
+	// MaxConnections is the largest number of connections from all VMs together to one server.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second one server takes from all VMs together while it is cold, or zero for as
-	// many as ever.
+	// ColdPerSecond is the number of requests per second from all VMs together that one server
+	// accepts while it is cold, that is for some time after its start. Zero is no limit.
 	ColdPerSecond float64
-	// ShortestGap is the shortest pause between events that is in time among the routes
-	// to the service, or zero when none states one. New reckons it.
+	// ShortestGap is the smallest Gap of the routes to the service, or zero if none has one. New
+	// sets it.
 	ShortestGap time.Duration
-	// Engine is nil for a plain service.
+	// Engine describes the service's model engines. It is nil for a service without engines.
 	Engine *Engine
 }
 
-// Engine says how the model engines of a service work. A pass goes over all
-// requests at once; a pass in which any request writes has Stride steps.
+// Engine is the performance model of a service's model engines. An engine works in passes over all
+// its requests. A pass in which any request decodes has StepsPerPass steps.
 type Engine struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is the number of requests that one engine works on at the same time.
 	Slots int
-	// MemoryTokens is the KV memory of one engine.
+	// MemoryTokens is the size of one engine's KV memory in tokens.
 	MemoryTokens int
-	// Stride is the steps of a pass with writers.
+	// StepsPerPass is the number of steps of a pass with decoding requests.
 	Stride int
-	// Step is what each step takes, and PerRequest what it takes more for each request
-	// that is written.
+	// StepTime is the base time of a step, and StepTimePerRequest its additional time for each
+	// decoding request.
 	Step       time.Duration
 	PerRequest time.Duration
-	// PerThousand is what a step takes more for each thousand tokens of the context of
-	// those that are written.
+	// StepTimePerThousandTokens is the additional time of a step for each thousand context tokens
+	// of the decoding requests.
 	PerThousand time.Duration
-	// ReadPerSecond is the prompt tokens read in a second, pairs not counted.
+	// PrefillTokensPerSecond is the linear part of the prefill speed in prompt tokens per second.
 	ReadPerSecond float64
-	// PairsPerMillion is the time for a million pairs of a token and one
-	// before it.
+	// TimePerMillionPairs is the quadratic part of the prefill time: the time for a million pairs
+	// of a token and an earlier one.
 	PairsPerMillion time.Duration
 }
 
-// million scales the price of pairs.
+// million is the number of pairs that TimePerMillionPairs is for.
 const million = 1e6
 
-// ReadTime is how long an engine that does nothing else reads a prompt.
+// PrefillTime returns the prefill time of a prompt on an otherwise idle engine.
 func (engine *Engine) ReadTime(tokens int) time.Duration {
 	length := float64(tokens)
 	linear := length / engine.ReadPerSecond * float64(time.Second)
@@ -52,11 +51,11 @@
 	return time.Duration(linear + pairs)
 }
 
-// thousand scales the price of context.
+// thousand is the number of tokens that StepTimePerThousandTokens is for.
 const thousand = 1e3
 
-// PassTime is how long a pass with writers takes when nothing is read, beside so many
-// requests with so many tokens of context together.
+// PassTime returns the time of a decode pass without prefill, for the given numbers of decoding
+// requests and of context tokens of all of them together.
 func (engine *Engine) PassTime(requests, context int) time.Duration {
 	step := float64(engine.Step) + float64(requests)*float64(engine.PerRequest) +
 		float64(context)/thousand*float64(engine.PerThousand)
