--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous ranks nodes for a key by highest random weight: all who
-// know the same nodes agree, and a node that goes moves only its own keys.
+// Package rendezvous ranks nodes for a key by rendezvous hashing (highest random weight). All processes that use the same
+// list of nodes compute the same ranking, and the removal of a node changes the first node only for the keys that it
+// was first for.
 package rendezvous
 
 import (
@@ -9,15 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank returns the place of node among nodes for key, zero being first. A node
-// that is not among them comes last.
+// Rank returns the position of node in the ranking of nodes for key, zero for the first. It returns len(nodes) if node is
+// not among them.
 func Rank(key, node string, nodes []string) int {
-	own := weight(key, node)
+	nodeWeight := weight(key, node)
 	rank := 0
 	found := false
 	for _, other := range nodes {
 		found = found || other == node
-		if other != node && before(key, other, own, node) {
+		if other != node && before(key, other, nodeWeight, node) {
 			rank++
 		}
 	}
@@ -27,21 +28,24 @@
 	return rank
 }
 
-// Order returns nodes in the order of their rank for key.
+// Order returns a copy of nodes, sorted by their rank for key.
 func Order(key string, nodes []string) []string {
 	return slices.SortedFunc(slices.Values(nodes), func(a, b string) int { return Compare(key, a, b) })
 }
 
-// Compare orders two nodes by their rank for key.
+// Compare returns a negative number if a ranks before b for key, a positive one if it ranks after b, and zero if they are
+// equal. Nodes of equal weight are ordered by name.
 func Compare(key, a, b string) int {
 	return cmp.Or(cmp.Compare(weight(key, b), weight(key, a)), cmp.Compare(a, b))
 }
 
-func before(key, other string, own uint64, node string) bool {
-	theirs := weight(key, other)
-	return theirs > own || (theirs == own && other < node)
+// precedes reports whether other ranks before node, whose weight is nodeWeight.
+func before(key, other string, nodeWeight uint64, node string) bool {
+	otherWeight := weight(key, other)
+	return otherWeight > nodeWeight || (otherWeight == nodeWeight && other < node)
 }
 
+// weight returns the hash of key and node. All VMs of a fleet must compute the same value.
 func weight(key, node string) uint64 {
 	return xxhash.Sum64String(key + "\x00" + node)
 }
