--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network within memory, for tests in virtual time. Its
-// connections are pipes; addresses can be made dark or refuse.
+// Package memnet is an in-memory network for tests in virtual time. Its connections are pipes. A test can make addresses
+// unreachable, and connections to an address without a listener are refused.
 package memnet
 
 import (
@@ -13,24 +13,25 @@
 	"github.com/mastwinch/mastwinch/internal/network"
 )
 
-// ErrRefused is returned when nobody listens.
+// ErrRefused is returned by Dial when no listener has the address.
 var ErrRefused = errors.New("connection refused")
 
-// packetQueue is how many datagrams wait to be read; more are lost.
+// packetQueueLength is how many received datagrams a packet connection queues. Further ones are dropped.
 const packetQueue = 1024
 
-// Network is a network within memory.
+// Network is an in-memory network. It is safe for concurrent use.
 type Network struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// listeners and packets are keyed by address.
 	listeners map[string]*listener
 	packets   map[string]*packetConn
-	// dark has the addresses that say nothing.
+	// unreachable holds the addresses that drop packets.
 	dark map[string]bool
 }
 
 var _ network.Network = (*Network)(nil)
 
-// New returns a network with nobody on it.
+// New returns a network without listeners.
 func New() *Network {
 	return &Network{
 		listeners: make(map[string]*listener),
@@ -39,76 +40,77 @@
 	}
 }
 
-// SetDark makes an address say nothing to new connections and datagrams, or
-// ends that.
-func (memnet *Network) SetDark(address string, dark bool) {
+// SetUnreachable makes an address unreachable, or reachable again. Connection attempts to an unreachable address time out,
+// and datagrams from and to it are dropped. Existing connections are not affected.
+func (memnet *Network) SetDark(address string, unreachable bool) {
 	memnet.mu.Lock()
 	defer memnet.mu.Unlock()
-	memnet.dark[address] = dark
+	memnet.dark[address] = unreachable
 }
 
-// Listen implements network.Network.
+// Listen implements network.Network. It returns an error if the address has a listener.
 func (memnet *Network) Listen(_ context.Context, address string) (net.Listener, error) {
 	memnet.mu.Lock()
 	defer memnet.mu.Unlock()
 	if memnet.listeners[address] != nil {
 		return nil, errors.Newf("address %s is in use", address)
 	}
-	added := &listener{network: memnet, address: addr(address), conns: make(chan net.Conn), closed: make(chan struct{})}
-	memnet.listeners[address] = added
-	return added, nil
+	created := &listener{network: memnet, address: addr(address), conns: make(chan net.Conn), closed: make(chan struct{})}
+	memnet.listeners[address] = created
+	return created, nil
 }
 
-// Dial implements network.Network.
+// Dial implements network.Network. It returns ErrRefused if the address has no listener, and the error of the context if
+// the address is unreachable or the listener doesn't accept within the default dial timeout.
 func (memnet *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	memnet.mu.Lock()
-	found, dark := memnet.listeners[address], memnet.dark[address]
+	target, unreachable := memnet.listeners[address], memnet.dark[address]
 	memnet.mu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, network.DefaultSettings().DialTimeout)
 	defer cancel()
-	if dark {
+	if unreachable {
 		<-bounded.Done()
 		return nil, errors.WithStack(bounded.Err())
 	}
-	if found == nil {
+	if target == nil {
 		return nil, errors.WithStack(ErrRefused)
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case found.conns <- far:
-		return near, nil
-	case <-found.closed:
+	case target.conns <- serverConn:
+		return clientConn, nil
+	case <-target.closed:
 		return nil, errors.WithStack(ErrRefused)
 	case <-bounded.Done():
 		return nil, errors.WithStack(bounded.Err())
 	}
 }
 
-// ListenPacket implements network.Network.
+// ListenPacket implements network.Network. It returns an error if the address has a packet connection.
 func (memnet *Network) ListenPacket(_ context.Context, address string) (net.PacketConn, error) {
 	memnet.mu.Lock()
 	defer memnet.mu.Unlock()
 	if memnet.packets[address] != nil {
 		return nil, errors.Newf("address %s is in use", address)
 	}
-	added := &packetConn{
+	created := &packetConn{
 		network: memnet, address: addr(address),
 		packets: make(chan packet, packetQueue), closed: make(chan struct{}),
 	}
-	memnet.packets[address] = added
-	return added, nil
+	memnet.packets[address] = created
+	return created, nil
 }
 
-// addr is an address on the network.
+// addr is a net.Addr on the network.
 type addr string
 
-// Network implements net.Addr.
+// Network implements net.Addr. It returns "memory".
 func (addr) Network() string { return "memory" }
 
 // String implements net.Addr.
 func (addr addr) String() string { return string(addr) }
 
-// listener takes connections.
+// listener is a net.Listener on a Network.
 type listener struct {
 	network *Network
 	address addr
@@ -141,12 +143,13 @@
 // Addr implements net.Listener.
 func (listener *listener) Addr() net.Addr { return listener.address }
 
+// packet is a datagram in the queue of its receiver.
 type packet struct {
 	data []byte
 	from addr
 }
 
-// packetConn takes and sends datagrams.
+// packetConn is a net.PacketConn on a Network.
 type packetConn struct {
 	network *Network
 	address addr
@@ -165,17 +168,18 @@
 	}
 }
 
-// WriteTo implements net.PacketConn. Datagrams to nobody are lost.
+// WriteTo implements net.PacketConn. Like UDP, it drops a datagram without an error if the destination doesn't exist or its
+// queue is full, or if an address is unreachable.
 func (packetconn *packetConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	packetconn.network.mu.Lock()
-	found := packetconn.network.packets[to.String()]
-	dark := packetconn.network.dark[to.String()] || packetconn.network.dark[packetconn.address.String()]
+	target := packetconn.network.packets[to.String()]
+	unreachable := packetconn.network.dark[to.String()] || packetconn.network.dark[packetconn.address.String()]
 	packetconn.network.mu.Unlock()
-	if found == nil || dark {
+	if target == nil || unreachable {
 		return len(data), nil
 	}
 	select {
-	case found.packets <- packet{data: append([]byte(nil), data...), from: packetconn.address}:
+	case target.packets <- packet{data: append([]byte(nil), data...), from: packetconn.address}:
 	default:
 	}
 	return len(data), nil
@@ -195,11 +199,11 @@
 // LocalAddr implements net.PacketConn.
 func (packetconn *packetConn) LocalAddr() net.Addr { return packetconn.address }
 
-// SetDeadline implements net.PacketConn. Datagrams here have no deadlines.
+// SetDeadline implements net.PacketConn. It does nothing: deadlines are not supported.
 func (*packetConn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements net.PacketConn, as SetDeadline does.
+// SetReadDeadline implements net.PacketConn. Like SetDeadline, it does nothing.
 func (*packetConn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.PacketConn, as SetDeadline does.
+// SetWriteDeadline implements net.PacketConn. Like SetDeadline, it does nothing.
 func (*packetConn) SetWriteDeadline(time.Time) error { return nil }
