--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Backoff is the time between tries that fail. It doubles with each failure, so that many who try together do not offer
-// for long what the other side cannot take, and is drawn at random, so that they do not come back together.
+// Backoff is an exponential backoff with jitter between the attempts of an operation. The delay doubles with each attempt,
+// so that many clients that retry together don't overload the server for long. The jitter keeps them from retrying at
+// the same time. A Backoff is not safe for concurrent use.
 type Backoff struct {
 	least, most, next time.Duration
 }
 
-// NewBackoff returns times that grow from least to most.
-func NewBackoff(least, most time.Duration) *Backoff {
-	return &Backoff{least: least, most: most, next: least}
+// NewBackoff returns a backoff whose delays, before jitter, grow from initial to maximum.
+func NewBackoff(initial, maximum time.Duration) *Backoff {
+	return &Backoff{least: initial, most: maximum, next: initial}
 }
 
-// Wait waits before the next try. It reports false when ctx is done first.
+// Wait sleeps before the next attempt. It returns false as soon as ctx is done.
 func (backoff *Backoff) Wait(ctx context.Context) bool {
-	pause := Drawn(backoff.next)
+	delay := Drawn(backoff.next)
 	backoff.next = min(backoff.most, 2*backoff.next)
-	return For(ctx, pause)
+	return For(ctx, delay)
 }
 
-// Reset lets the next time be the least again.
+// Reset sets the next delay back to the initial one.
 func (backoff *Backoff) Reset() {
 	backoff.next = backoff.least
 }
 
-// Drawn returns a time drawn from half of most to most.
-func Drawn(most time.Duration) time.Duration {
-	if most <= 1 {
-		return most
+// Jittered returns a random duration from half of maximum to maximum. A maximum of 1 ns or less is returned unchanged.
+func Drawn(maximum time.Duration) time.Duration {
+	if maximum <= 1 {
+		return maximum
 	}
-	return most/2 + rand.N(most/2) //nolint:gosec // no secret
+	return maximum/2 + rand.N(maximum/2) //nolint:gosec // not security-sensitive
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for the end of a context.
+// Package wait provides a sleep that a context can interrupt, and an exponential backoff with jitter.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits that long, and reports whether it did; it returns early, with
-// false, when ctx is done. A time of zero or less is over at once.
+// For sleeps for the duration and returns true, or returns false as soon as ctx is done. For a duration of zero or less it
+// returns true at once, even if ctx is done.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
