--- a/internal/exchange/addresses.go
+++ b/internal/exchange/addresses.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// deciding returns the addresses of the other VMs that decide for all.
+// coordinatorAddresses returns the addresses of the coordinators without this VM.
 func (exchange *Exchange) deciding() []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -15,7 +15,7 @@
 	return addresses
 }
 
-// everyone returns the addresses of all known VMs.
+// allAddresses returns the addresses of all known VMs without this one.
 func (exchange *Exchange) everyone() []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
--- a/internal/exchange/asks.go
+++ b/internal/exchange/asks.go
@@ -11,8 +11,8 @@
 	return &wire.Ask{
 		Id:           ask.ID,
 		Service:      ask.Service,
-		Tokens:       uint64(ask.Tokens), //nolint:gosec // never below zero
-		MemoryTokens: uint64(ask.Memory), //nolint:gosec // never below zero
+		Tokens:       uint64(ask.Tokens), //nolint:gosec // not negative
+		MemoryTokens: uint64(ask.Memory), //nolint:gosec // not negative
 		GapMs:        milliseconds(ask.Gap),
 		ObjectiveMs:  milliseconds(ask.Objective),
 		DueMs:        int32(ask.Due.Milliseconds()),   //nolint:gosec // minutes at most
@@ -52,13 +52,13 @@
 func encodeAnswer(answer dispatch.Answer) *wire.Verdict {
 	shares := make([]uint64, 0, len(answer.Shares))
 	for _, share := range answer.Shares {
-		shares = append(shares, uint64(share)) //nolint:gosec // never below zero
+		shares = append(shares, uint64(share)) //nolint:gosec // not negative
 	}
 	return &wire.Verdict{
 		Id:          answer.ID,
-		Decision:    wire.Decision(answer.Decision), //nolint:gosec // three values
+		Decision:    wire.Decision(answer.Decision), //nolint:gosec // few values
 		Servers:     answer.Servers,
-		PartUs:      uint64(answer.Part.Microseconds()), //nolint:gosec // never below zero
+		PartUs:      uint64(answer.Part.Microseconds()), //nolint:gosec // not negative
 		Shares:      shares,
 		PredictedMs: milliseconds(answer.Predicted),
 		Tight:       answer.Tight,
@@ -91,7 +91,7 @@
 	return list
 }
 
-// milliseconds tells a time that is never below zero.
+// milliseconds converts a duration for the wire. A negative one becomes zero.
 func milliseconds(duration time.Duration) uint32 {
 	return uint32(max(0, duration.Milliseconds())) //nolint:gosec // minutes at most
 }
--- a/internal/exchange/asks_internal_test.go
+++ b/internal/exchange/asks_internal_test.go
@@ -13,15 +13,17 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// aMinute bounds times, in milliseconds.
+// minuteInMilliseconds bounds the drawn durations.
 const aMinute = 60_000
 
-func drawMilliseconds(t *rapid.T, least int, label string) time.Duration {
-	return time.Duration(rapid.IntRange(least, aMinute).Draw(t, label)) * time.Millisecond
+// drawMilliseconds draws a duration from minimum, in milliseconds, to one minute.
+func drawMilliseconds(t *rapid.T, minimum int, label string) time.Duration {
+	return time.Duration(rapid.IntRange(minimum, aMinute).Draw(t, label)) * time.Millisecond
 }
 
-// TestAsksAndAnswersArriveAsTheyWere sends drawn ones through a datagram.
-func TestAsksAndAnswersArriveAsTheyWere(t *testing.T) {
+// TestAsksAndAnswersRoundTrip checks that random asks and answers are unchanged after they are encoded to a datagram and
+// decoded.
+func TestAsksAndAnswersRoundTrip(t *testing.T) {
 	names := rapid.SliceOfN(rapid.StringMatching(`[a-z0-9-]{1,20}`), 0, dispatchServers)
 	rapid.Check(t, func(t *rapid.T) {
 		ask := dispatch.Ask{
@@ -83,11 +85,10 @@
 	})
 }
 
-// dispatchServers is the most servers that one request gets.
+// maxServersPerRequest is the maximum number of servers that one request is assigned to.
 const dispatchServers = 17
 
-// FuzzDatagram decodes datagrams of any content: that never panics, and nothing is left
-// out or added.
+// FuzzDatagram decodes arbitrary datagrams. It checks that decoding doesn't panic, and neither drops nor adds elements.
 func FuzzDatagram(f *testing.F) {
 	whole, err := proto.Marshal(&wire.LoadUpdate{
 		Vm: "vm-1", Address: "10.0.0.1:7340", Asks: []*wire.Ask{{Id: 1, Service: "engines"}},
--- a/internal/exchange/bench_internal_test.go
+++ b/internal/exchange/bench_internal_test.go
@@ -9,9 +9,8 @@
 	"github.com/mastwinch/mastwinch/internal/epoch"
 )
 
-// BenchmarkCoordinators tells who decides among VMs of five data centres that are all
-// live. With the data centres sorted out each time it took 104 us at 295, beside other
-// load, 3.6 with them kept.
+// BenchmarkCoordinators measures the selection of coordinators among live VMs of five data centres. Without cached
+// rankings it takes about 30 times as long with 295 VMs.
 func BenchmarkCoordinators(b *testing.B) {
 	for _, count := range []int{30, 90, 295} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -32,8 +31,8 @@
 	}
 }
 
-// BenchmarkDeciders makes what a VM that decides tells in answer to each VM that asks whether it is heard.
-func BenchmarkDeciders(b *testing.B) {
+// BenchmarkAnnouncedCoordinators measures the summary that a coordinator includes in its answer to each ping.
+func BenchmarkAnnouncedCoordinators(b *testing.B) {
 	self := Member{VM: "vm-0", Address: "10.0.0.1:7340", DataCentre: "dc-0", Capacity: 20}
 	exchange := New(DefaultSettings(), self, nil, nil, nil, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 	for number := 1; number < 295; number++ {
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -8,7 +8,7 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// percent scales a pace to whole numbers.
+// percent converts a pace, a fraction, to the whole percentages on the wire.
 const percent = 100
 
 func encode(reports []pool.Report) []*wire.Sending {
@@ -17,9 +17,9 @@
 		sendings = append(sendings, &wire.Sending{
 			Id:           report.ID,
 			Server:       report.Server,
-			Phase:        wire.Phase(report.Phase),           //nolint:gosec // three values
-			WorkUs:       uint64(report.Work.Microseconds()), //nolint:gosec // never below zero
-			MemoryTokens: uint64(report.Memory),              //nolint:gosec // never below zero
+			Phase:        wire.Phase(report.Phase),           //nolint:gosec // few values
+			WorkUs:       uint64(report.Work.Microseconds()), //nolint:gosec // not negative
+			MemoryTokens: uint64(report.Memory),              //nolint:gosec // not negative
 			GapMs:        uint32(report.Gap.Milliseconds()),  //nolint:gosec // seconds at most
 			Tight:        report.Tight,
 			Helps:        report.Helps,
--- a/internal/exchange/codec_internal_test.go
+++ b/internal/exchange/codec_internal_test.go
@@ -12,8 +12,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// TestReportsArriveAsTheyWere sends drawn ones, of any health, through a datagram.
-func TestReportsArriveAsTheyWere(t *testing.T) {
+// TestReportsRoundTrip checks that random reports are unchanged after they are encoded to a datagram and decoded.
+func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := pool.Report{
 			ID:          rapid.Uint64().Draw(t, "id"),
--- a/internal/exchange/coordinators.go
+++ b/internal/exchange/coordinators.go
@@ -11,20 +11,20 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// coordinatorOrder names the order of VMs that decide for others.
+// coordinatorKey is the rendezvous key that ranks VMs as coordinators.
 const coordinatorOrder = "coordinator"
 
-// Judges reports whether this VM is told what all others see of servers: it is one of those that
-// decide, as one alone is.
+// Judges implements quarantine.Publisher. It reports whether this VM is a coordinator, and so receives what all others
+// observe of the servers. A VM without live peers is its own coordinator.
 func (exchange *Exchange) Judges() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	return exchange.decides(exchange.self.VM)
 }
 
-// Coordinators returns the VMs that may be asked for servers, the best one first. This
-// one may be among them. Those that did not answer are left out until they are heard
-// again, and those that started just now go last, since they know of little.
+// Coordinators returns the VMs that requests for servers may be sent to, the preferred one first. This VM may be among
+// them. Unresponsive VMs are left out until a datagram arrives from them. Coordinators that have not warmed up come
+// last, since they have not received the reports of all VMs yet.
 func (exchange *Exchange) Coordinators() []string {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -41,18 +41,18 @@
 	return append(warm, cold...)
 }
 
-// Doubt notes that a VM did not answer.
+// Doubt marks a VM that did not answer as unresponsive, until a datagram arrives from it.
 func (exchange *Exchange) Doubt(vm string) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	if known := exchange.peers[vm]; known != nil && !known.doubted {
-		known.doubted = true
-		exchange.logger.Info("VM does not answer", "peer", vm)
+	if peer := exchange.peers[vm]; peer != nil && !peer.doubted {
+		peer.doubted = true
+		exchange.logger.Info("VM marked unresponsive", "peer", vm)
 	}
 }
 
-// warm reports whether a VM was told for long enough of all that is under way: it has
-// run, and has been one of those that decide, for that long.
+// warm reports whether a VM has run, and has been a coordinator, for at least CoordinatorWarmUp, so that it has
+// received the reports of all VMs. It is false for a VM whose start time is unknown.
 func (exchange *Exchange) warm(vm string) bool {
 	since := exchange.started
 	if vm != exchange.self.VM {
@@ -61,62 +61,61 @@
 	if since.IsZero() {
 		return false
 	}
-	if chosen := exchange.chosenSince[vm]; chosen.After(since) {
-		since = chosen
+	if selected := exchange.chosenSince[vm]; selected.After(since) {
+		since = selected
 	}
 	return exchange.now().Sub(since) >= exchange.settings.Warm
 }
 
-// chosen returns the VMs that decide for others, and notes since when each is.
+// currentCoordinators returns the coordinators, and records since when each of them is one.
 func (exchange *Exchange) chosen() []string {
-	chosen, _ := exchange.survey()
-	maps.DeleteFunc(exchange.chosenSince, func(vm string, _ time.Time) bool { return !slices.Contains(chosen, vm) })
-	for _, vm := range chosen {
-		if _, known := exchange.chosenSince[vm]; !known {
+	currentCoordinators, _ := exchange.survey()
+	maps.DeleteFunc(exchange.chosenSince, func(vm string, _ time.Time) bool { return !slices.Contains(currentCoordinators, vm) })
+	for _, vm := range currentCoordinators {
+		if _, found := exchange.chosenSince[vm]; !found {
 			exchange.chosenSince[vm] = exchange.now()
 		}
 	}
-	return chosen
+	return currentCoordinators
 }
 
-// survey returns the VMs that decide for others, and those that would before them if they
-// were live. The first live VM of each data centre is taken, data centres in the order of
-// their first VMs, so that what cuts one data centre off leaves others; then the second
-// ones, where there are too few data centres. Whoever keeps in touch with all of these
-// finds the same ones as others do.
-func (exchange *Exchange) survey() (chosen, away []string) {
-	wanted := exchange.settings.Coordinators
+// selectCoordinators returns the coordinators, and the VMs that are down but rank before them. It takes the first live VM
+// of each data centre, data centres in the order of their first VMs, so that a partition of one data centre leaves
+// coordinators in others. Where there are too few data centres it then takes their second VMs, and so on. VMs that send
+// heartbeats to all returned VMs select the same coordinators.
+func (exchange *Exchange) survey() (selected, down []string) {
+	count := exchange.settings.Coordinators
 	exchange.arrange()
-	groups := slices.Clone(exchange.groups)
+	dataCentreRankings := slices.Clone(exchange.groups)
 	for progress := true; progress; {
 		progress = false
-		for at, group := range groups {
-			if len(chosen) == wanted {
-				return chosen, away
+		for index, group := range dataCentreRankings {
+			if len(selected) == count {
+				return selected, down
 			}
 			live := slices.IndexFunc(group, exchange.isLive)
-			silent := group[:max(0, live)]
+			skipped := group[:max(0, live)]
 			if live < 0 {
-				silent = group
+				skipped = group
 			}
-			away = append(away, silent...)
-			groups[at] = nil
+			down = append(down, skipped...)
+			dataCentreRankings[index] = nil
 			if live >= 0 {
-				chosen = append(chosen, group[live])
-				groups[at] = group[live+1:]
+				selected = append(selected, group[live])
+				dataCentreRankings[index] = group[live+1:]
 				progress = true
 			}
 		}
 	}
-	return chosen, away
+	return selected, down
 }
 
-// decides reports whether a VM is one of those that decide.
+// isCoordinator reports whether a VM is one of the current coordinators.
 func (exchange *Exchange) decides(vm string) bool {
 	return slices.Contains(exchange.chosen(), vm)
 }
 
-// member returns a VM that is known, which may be this one.
+// member returns the record of this VM or of a known peer. It panics for any other VM.
 func (exchange *Exchange) member(vm string) Member {
 	if vm == exchange.self.VM {
 		return exchange.self
@@ -136,9 +135,9 @@
 	return vm == exchange.self.VM || exchange.live(exchange.peers[vm])
 }
 
-// arrange brings the order of all VMs up to date: those with the greatest links first,
-// which have the most processor time too, and the same at all VMs. It is kept until a VM
-// changes, since who decides is asked several times for each request.
+// ensureRanking builds the rankings of all VMs unless they are current. The order is the same at all VMs. VMs with the
+// greatest link capacity come first, since they have the most processor time too. The rankings are cached until a VM
+// changes, because the coordinators are looked up several times for each request.
 func (exchange *Exchange) arrange() {
 	if exchange.order != nil {
 		return
@@ -151,27 +150,27 @@
 	}
 }
 
-// rank puts a VM that is new into the order.
+// insertRanked inserts a new VM into the rankings.
 func (exchange *Exchange) rank(vm string) {
 	dataCentre := exchange.dataCentre(vm)
 	exchange.order = with(exchange.order, vm, exchange.compareDeciders)
 	exchange.byReader[dataCentre] = with(exchange.byReader[dataCentre], vm, exchange.compareReaders)
-	own := func(group []string) bool { return exchange.dataCentre(group[0]) == dataCentre }
-	if at := slices.IndexFunc(exchange.groups, own); at >= 0 {
-		exchange.groups[at] = with(exchange.groups[at], vm, exchange.compareDeciders)
+	sameDataCentre := func(group []string) bool { return exchange.dataCentre(group[0]) == dataCentre }
+	if index := slices.IndexFunc(exchange.groups, sameDataCentre); index >= 0 {
+		exchange.groups[index] = with(exchange.groups[index], vm, exchange.compareDeciders)
 	} else {
 		exchange.groups = append(exchange.groups, []string{vm})
 	}
 	slices.SortFunc(exchange.groups, func(a, b []string) int { return exchange.compareDeciders(a[0], b[0]) })
 }
 
-// with returns VMs in their order with one more.
+// insertSorted inserts vm into the sorted vms and returns the result.
 func with(vms []string, vm string, compare func(a, b string) int) []string {
-	at, _ := slices.BinarySearchFunc(vms, vm, compare)
-	return slices.Insert(vms, at, vm)
+	index, _ := slices.BinarySearchFunc(vms, vm, compare)
+	return slices.Insert(vms, index, vm)
 }
 
-// compareDeciders orders VMs by who decides: the greatest capacity first, then by rendezvous.
+// compareCoordinators orders VMs by preference as coordinator: by descending link capacity, then by rendezvous hashing.
 func (exchange *Exchange) compareDeciders(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(exchange.capacity(b), exchange.capacity(a)),
@@ -179,17 +178,18 @@
 	)
 }
 
-// ordered returns all VMs in the order in which they are asked.
+// ranking returns all VMs in order of preference as coordinator.
 func (exchange *Exchange) ordered() []string {
 	exchange.arrange()
 	return exchange.order
 }
 
-// deciders returns the VMs that decide, how many VMs are known, and how many are heard.
-func (exchange *Exchange) deciders() (deciders []*wire.Peer, known, heard uint32) {
+// announcedCoordinators returns the coordinators as they are sent to other VMs, with the number of VMs ever known and the
+// number of live VMs.
+func (exchange *Exchange) deciders() (announcedCoordinators []*wire.Peer, knownCount, live uint32) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	return exchange.encodePeers(exchange.chosen()), uint32(exchange.known()), uint32(exchange.members()) //nolint:gosec // VMs
+	return exchange.encodePeers(exchange.chosen()), uint32(exchange.known()), uint32(exchange.members()) //nolint:gosec // number of VMs
 }
 
 func (exchange *Exchange) encodePeers(vms []string) []*wire.Peer {
@@ -198,79 +198,80 @@
 		member := exchange.member(vm)
 		peers = append(peers, &wire.Peer{
 			Vm: member.VM, Address: member.Address, DataCentre: member.DataCentre,
-			Capacity: uint32(member.Capacity), //nolint:gosec // a link's
+			Capacity: uint32(member.Capacity), //nolint:gosec // link capacity in Mbit/s
 		})
 	}
 	return peers
 }
 
-// watched returns the VMs that this one keeps in touch with: those that decide, those that
-// read the store in its own data centre, and some before them in the order that are away.
+// heartbeatTargets returns the addresses that this VM sends heartbeats to: the coordinators, the reader candidates of its
+// own data centre, and some VMs that are down and rank before these.
 func (exchange *Exchange) watched() []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	watched := make(map[string]bool)
-	chosen, away := exchange.survey()
-	readers, awayHere := exchange.readers()
-	away = exchange.some(append(away, awayHere...))
-	for _, vm := range slices.Concat(chosen, readers, away) {
-		watched[vm] = true
+	heartbeatTargets := make(map[string]bool)
+	coordinators, down := exchange.survey()
+	readerCandidates, downReaders := exchange.readers()
+	down = exchange.some(append(down, downReaders...))
+	for _, vm := range slices.Concat(coordinators, readerCandidates, down) {
+		heartbeatTargets[vm] = true
 	}
-	delete(watched, exchange.self.VM)
-	addresses := make([]net.Addr, 0, len(watched))
-	for vm := range watched {
+	delete(heartbeatTargets, exchange.self.VM)
+	addresses := make([]net.Addr, 0, len(heartbeatTargets))
+	for vm := range heartbeatTargets {
 		addresses = append(addresses, exchange.peers[vm].address)
 	}
 	return addresses
 }
 
-// readers returns the first VMs of this data centre that are live and read the store, with
-// the live ones before them that cannot, and those before them that are away.
-func (exchange *Exchange) readers() (readers, away []string) {
-	live, blind := 0, 0
+// readerCandidates returns the first live VMs of this data centre in the order of readers, including live ones that the
+// store doesn't answer, and the VMs before them that are down.
+func (exchange *Exchange) readers() (readerCandidates, down []string) {
+	available, storeUnavailable := 0, 0
 	exchange.arrange()
 	for _, vm := range exchange.byReader[exchange.self.DataCentre] {
 		switch {
-		case live == exchange.settings.Readers, blind == 2*exchange.settings.Readers:
-			return readers, away // where all are turned away the store is away for all
+		case available == exchange.settings.Readers, storeUnavailable == 2*exchange.settings.Readers:
+			return readerCandidates, down // if the store answers none of so many candidates, it is down for all VMs
 		case !exchange.isLive(vm):
-			away = append(away, vm)
+			down = append(down, vm)
 		default:
 			if vm != exchange.self.VM && exchange.peers[vm].blind {
-				blind++
+				storeUnavailable++
 			} else {
-				live++
+				available++
 			}
-			readers = append(readers, vm)
+			readerCandidates = append(readerCandidates, vm)
 		}
 	}
-	return readers, away
+	return readerCandidates, down
 }
 
-// some returns the first VMs of each data centre that are away, which are back first of all
-// when all start together, and as many of the others, which take turns: VMs that are gone
-// for good stay in the register, and any one that is back tells who decides.
-func (exchange *Exchange) some(away []string) []string {
+// downSample limits VMs that are down to HelloCount of each data centre, and as many of the others in round-robin order.
+// The first of each data centre are included every time, since they are the first to return when all VMs start together.
+// The others are rotated because VMs that are gone for good stay in the registry. Any VM that is back names the
+// coordinators in its answer.
+func (exchange *Exchange) some(down []string) []string {
 	counts := make(map[string]int)
-	var some, others []string
-	for _, vm := range away {
+	var downSample, others []string
+	for _, vm := range down {
 		dataCentre := exchange.dataCentre(vm)
 		if counts[dataCentre] < exchange.settings.Greet {
 			counts[dataCentre]++
-			some = append(some, vm)
+			downSample = append(downSample, vm)
 		} else {
 			others = append(others, vm)
 		}
 	}
 	for range min(exchange.settings.Greet, len(others)) {
-		some = append(some, others[exchange.turn%len(others)])
+		downSample = append(downSample, others[exchange.turn%len(others)])
 		exchange.turn++
 	}
-	return some
+	return downSample
 }
 
-// greeted returns the VMs that are told of this one when it starts. One that others may
-// ask, or read the store through, must be known to all.
+// helloTargets returns the addresses that this VM says hello to when it starts or resumes. A candidate for coordinator or
+// reader must be known to all VMs, so it says hello to all of them.
 func (exchange *Exchange) greeted() []net.Addr {
 	if exchange.prominent() {
 		return exchange.everyone()
@@ -278,16 +279,17 @@
 	return exchange.watched()
 }
 
-// prominent reports whether others may ask this VM: it is among the first in the order,
-// or among the first of its data centre.
+// isCandidate reports whether this VM is a candidate for coordinator, or for reader in its data centre: it is among the
+// first in the ranking concerned.
 func (exchange *Exchange) prominent() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	beforeHere := slices.Index(exchange.byReader[exchange.self.DataCentre], exchange.self.VM)
-	return exchange.amongFirst() || beforeHere < exchange.settings.Readers+exchange.settings.Greet
+	readerRank := slices.Index(exchange.byReader[exchange.self.DataCentre], exchange.self.VM)
+	return exchange.amongFirst() || readerRank < exchange.settings.Readers+exchange.settings.Greet
 }
 
-// amongFirst reports whether this VM is among the first in the order, through which all others are found.
+// isBootstrapVM reports whether this VM is among the first of the ranking, which are in the registry so that starting
+// VMs find the rest of the fleet through them.
 func (exchange *Exchange) amongFirst() bool {
 	return slices.Index(exchange.ordered(), exchange.self.VM) < exchange.foundBy()
 }
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -16,12 +16,13 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
+// Link capacities in Mbit/s.
 const (
 	largeLink = 200
 	smallLink = 20
 )
 
-// addFleet adds VMs of three data centres, of which the first two each have large links.
+// addFleet adds count VMs in three data centres. The first two VMs of each data centre have large links.
 func (vms *vms) addFleet(t *testing.T, count int) []*countingConn {
 	t.Helper()
 	conns := make([]*countingConn, 0, count)
@@ -43,19 +44,19 @@
 	self := exchange.Member{
 		VM: conn.vm, Address: address(number), DataCentre: []string{"north", "south", "west"}[number%3], Capacity: capacity,
 	}
-	part := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(vms.clock), slog.New(slog.DiscardHandler), vms.clock)
+	instance := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(vms.clock), slog.New(slog.DiscardHandler), vms.clock)
 	sink := &sink{told: make(map[string][]pool.Report)}
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { _ = part.Run(ctx, sink) }()
+	go func() { _ = instance.Run(ctx, sink) }()
 	if number < len(vms.parts) {
-		vms.parts[number], vms.sinks[number], vms.stop[number] = part, sink, stop
+		vms.parts[number], vms.sinks[number], vms.stop[number] = instance, sink, stop
 		return conn
 	}
-	vms.parts, vms.sinks, vms.stop = append(vms.parts, part), append(vms.sinks, sink), append(vms.stop, stop)
+	vms.parts, vms.sinks, vms.stop = append(vms.parts, instance), append(vms.sinks, sink), append(vms.stop, stop)
 	return conn
 }
 
-// inFleet runs a test in virtual time with VMs that have found each other.
+// runInFleet runs a test in virtual time with count VMs that have discovered each other.
 func inFleet(t *testing.T, count int, test func(t *testing.T, vms *vms, conns []*countingConn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -67,25 +68,26 @@
 	})
 }
 
-// agreed returns the VMs that may be asked, and fails when VMs disagree.
+// agreedCoordinators returns the coordinators, and fails the test if VMs disagree on them. It leaves out the VMs with the
+// numbers except.
 func (vms *vms) agreed(t *testing.T, except ...int) []string {
 	t.Helper()
-	var agreed []string
-	for number, part := range vms.parts {
-		left := false
+	var agreedCoordinators []string
+	for number, instance := range vms.parts {
+		excluded := false
 		for _, other := range except {
-			left = left || other == number
+			excluded = excluded || other == number
 		}
-		if left {
+		if excluded {
 			continue
 		}
-		got := part.Coordinators()
-		if agreed == nil {
-			agreed = got
+		got := instance.Coordinators()
+		if agreedCoordinators == nil {
+			agreedCoordinators = got
 		}
-		assert.DeepEqual(t, got, agreed)
+		assert.DeepEqual(t, got, agreedCoordinators)
 	}
-	return agreed
+	return agreedCoordinators
 }
 
 func numberOf(t *testing.T, vm string) int {
@@ -96,43 +98,43 @@
 	return number
 }
 
-// TestSomeDecideForAll has 36 VMs that agree on three of different data centres, with
-// great links, and tell only these.
-func TestSomeDecideForAll(t *testing.T) {
+// TestVMsReportToCoordinatorsOnly checks that 36 VMs agree on three coordinators with large links in different data
+// centres, and that reports are sent to these alone.
+func TestVMsReportToCoordinatorsOnly(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, conns []*countingConn) {
-		chosen := vms.agreed(t)
-		assert.Equal(t, len(chosen), 3)
+		coordinators := vms.agreed(t)
+		assert.Equal(t, len(coordinators), 3)
 		dataCentres := make(map[int]bool)
-		for _, vm := range chosen {
+		for _, vm := range coordinators {
 			number := numberOf(t, vm)
 			assert.Assert(t, number < 6, "%s has a small link", vm)
 			dataCentres[number%3] = true
 		}
 		assert.Equal(t, len(dataCentres), 3)
-		for _, part := range vms.parts {
-			assert.Equal(t, part.Known(), 36)
+		for _, instance := range vms.parts {
+			assert.Equal(t, instance.Known(), 36)
 		}
 		const reports = 10
 		for id := range uint64(reports) {
 			vms.parts[20].Publish(pool.Report{ID: id, Server: "s1", Phase: pool.PhaseReading})
 			time.Sleep(5 * time.Millisecond)
 		}
-		assert.Equal(t, conns[20].sent.Load(), int64(3*reports), "35 for each report when all are told")
+		assert.Equal(t, conns[20].sent.Load(), int64(3*reports), "reports sent to all VMs would take 35 datagrams each")
 		for number, sink := range vms.sinks {
-			told := 0
-			for _, vm := range chosen {
+			want := 0
+			for _, vm := range coordinators {
 				if numberOf(t, vm) == number {
-					told = reports
+					want = reports
 				}
 			}
-			assert.Equal(t, len(sink.toldBy("vm-20")), told, "vm-%d", number)
+			assert.Equal(t, len(sink.toldBy("vm-20")), want, "vm-%d", number)
 		}
 	})
 }
 
-// TestTwoVMsHaveOneThatDecides: few VMs agree on who decides as many do. Where each decided for
-// itself from 6 to 23 VMs on, overload of short prompts served 0.31 of them instead of 0.39.
-func TestTwoVMsHaveOneThatDecides(t *testing.T) {
+// TestSmallFleetHasCoordinators guards against VMs of a small fleet that each assign requests by themselves. In fleets of
+// 6 to 23 VMs that lowered the served fraction of short prompts under overload from 0.39 to 0.31.
+func TestSmallFleetHasCoordinators(t *testing.T) {
 	for _, count := range []int{2, 3, 9} {
 		inFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
 			assert.Equal(t, len(vms.agreed(t)), min(count, 3))
@@ -140,14 +142,15 @@
 	}
 }
 
-// TestNextCoordinatorTakesOver has the first VM that decides fall silent, and start again.
+// TestNextCoordinatorTakesOver checks the failover when the first coordinator becomes unreachable, and that it is
+// preferred again only some time after its restart, since it has not received all reports before.
 func TestNextCoordinatorTakesOver(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		before := vms.agreed(t)
 		first := numberOf(t, before[0])
 		vms.network.SetDark(address(first), true)
 		vms.parts[20].Doubt(before[0])
-		assert.Equal(t, vms.parts[20].Coordinators()[0], before[1], "who doubts it asks the next one at once")
+		assert.Equal(t, vms.parts[20].Coordinators()[0], before[1], "a VM that marked it unresponsive must use the next one at once")
 		time.Sleep(2200 * time.Millisecond)
 		after := vms.agreed(t, first)
 		assert.Equal(t, after[0], before[1])
@@ -158,51 +161,52 @@
 		vms.network.SetDark(address(first), false)
 		vms.addMember(t, first)
 		time.Sleep(700 * time.Millisecond)
-		assert.Assert(t, vms.parts[20].Coordinators()[0] != before[0], "one that just started knows of little")
+		assert.Assert(t, vms.parts[20].Coordinators()[0] != before[0], "a coordinator that has just started lacks reports")
 		time.Sleep(1500 * time.Millisecond)
 		assert.DeepEqual(t, vms.agreed(t), before)
 	})
 }
 
-// TestSharesStayWithinTheWhole has VMs that decide for all, and one that is cut off from them and decides for itself: who
-// hears most VMs uses limits whole, and one alone what is due to one VM.
-func TestSharesStayWithinTheWhole(t *testing.T) {
+// TestShareOfPartitions guards against partitions that together exceed the limits of the fleet. The coordinators of the
+// majority must use the limits whole, and a VM that is partitioned from all others only the share of one VM.
+func TestShareOfPartitions(t *testing.T) {
 	const count = 36
 	inFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
-		chosen := vms.agreed(t)
-		for _, vm := range chosen {
-			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "%s hears all", vm)
+		coordinators := vms.agreed(t)
+		for _, vm := range coordinators {
+			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "all VMs are live for %s", vm)
 		}
-		const alone = 20
-		vms.network.SetDark(address(alone), true)
+		const partitioned = 20
+		vms.network.SetDark(address(partitioned), true)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, vms.parts[alone].Share(), 1.0/count)
-		assert.DeepEqual(t, vms.parts[alone].Coordinators(), []string{"vm-20"})
-		for _, vm := range chosen {
-			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "%s hears all others", vm)
+		assert.Equal(t, vms.parts[partitioned].Share(), 1.0/count)
+		assert.DeepEqual(t, vms.parts[partitioned].Coordinators(), []string{"vm-20"})
+		for _, vm := range coordinators {
+			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "all other VMs are live for %s", vm)
 		}
 	})
 }
 
-// TestDoubtEndsWhenHeard has a VM that did not answer once.
-func TestDoubtEndsWhenHeard(t *testing.T) {
+// TestUnresponsiveVMIsUsedAgain checks that a VM that was marked unresponsive is a coordinator again once a datagram
+// arrives from it.
+func TestUnresponsiveVMIsUsedAgain(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
-		time.Sleep(100 * time.Millisecond) // VMs tell each other at 3.0 s, which would end a doubt of that moment
-		chosen := vms.agreed(t)
-		for _, vm := range chosen {
+		time.Sleep(100 * time.Millisecond) // the heartbeats at 3.0 s would clear a mark set at the same time
+		coordinators := vms.agreed(t)
+		for _, vm := range coordinators {
 			vms.parts[20].Doubt(vm)
 		}
 		assert.Equal(t, len(vms.parts[20].Coordinators()), 0)
 		time.Sleep(700 * time.Millisecond)
-		assert.DeepEqual(t, vms.parts[20].Coordinators(), chosen)
+		assert.DeepEqual(t, vms.parts[20].Coordinators(), coordinators)
 	})
 }
 
-// TestStoreIsReadThroughOneOfTheDataCentre has VMs of a data centre that agree on who
-// reads the store, also once that one is away.
-func TestStoreIsReadThroughOneOfTheDataCentre(t *testing.T) {
+// TestDataCentreHasOneReader checks that the VMs of a data centre agree on one reader of the store, also after that
+// reader becomes unreachable.
+func TestDataCentreHasOneReader(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
-		asked := func() map[string]int {
+		countReaders := func() map[string]int {
 			counts := make(map[string]int)
 			for number := 0; number < 36; number += 3 {
 				role := vms.parts[number].Role(6, func(string) bool { return false })
@@ -210,8 +214,8 @@
 			}
 			return counts
 		}
-		before := asked()
-		assert.Equal(t, len(before), 2, "one address, and the reader itself: %v", before)
+		before := countReaders()
+		assert.Equal(t, len(before), 2, "the reader's address, and an empty one at the reader itself: %v", before)
 		reader := ""
 		for address := range before {
 			if address != "" {
@@ -220,19 +224,18 @@
 		}
 		vms.network.SetDark(reader, true)
 		time.Sleep(2200 * time.Millisecond)
-		after := asked()
+		after := countReaders()
 		assert.Assert(t, after[reader] == 0, "%v", after)
-		assert.Assert(t, after[""] <= 2, "the silent one, and the new reader: %v", after)
+		assert.Assert(t, after[""] <= 2, "the unreachable reader, and the new one: %v", after)
 	})
 }
 
-// TestReadersThatTheStoreTurnsAway has the three VMs that would read the store for their
-// data centre turned away by it: the others agree on one that is not, and each by itself
-// made four calls a second.
-func TestReadersThatTheStoreTurnsAway(t *testing.T) {
+// TestReadersWithoutStoreAreReplaced guards against VMs that each read the store themselves, with four calls a second,
+// because the store rejects the first three readers of their data centre. They must agree on a reader that it answers.
+func TestReadersWithoutStoreAreReplaced(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		never := func(string) bool { return false }
-		blind := make(map[string]bool)
+		rejected := make(map[string]bool)
 		for range 3 {
 			reader := vms.parts[33].Role(6, never).Ask
 			for number := range vms.parts {
@@ -240,41 +243,41 @@
 					vms.sinks[number].setBlind(true)
 				}
 			}
-			blind[reader] = true
+			rejected[reader] = true
 			time.Sleep(1200 * time.Millisecond)
 		}
-		assert.Equal(t, len(blind), 3)
-		asked := make(map[string]int)
+		assert.Equal(t, len(rejected), 3)
+		readers := make(map[string]int)
 		for number := 0; number < 36; number += 3 {
-			if !blind[address(number)] {
-				asked[vms.parts[number].Role(6, never).Ask]++
+			if !rejected[address(number)] {
+				readers[vms.parts[number].Role(6, never).Ask]++
 			}
 		}
-		assert.Equal(t, len(asked), 2, "one address, and the reader itself: %v", asked)
+		assert.Equal(t, len(readers), 2, "the reader's address, and an empty one at the reader itself: %v", readers)
 	})
 }
 
-// TestVMThatStartsAgainEntersOnce has VMs that are in the register already: they know each
-// other with one question, which does not take turns as entering does.
-func TestVMThatStartsAgainEntersOnce(t *testing.T) {
+// TestRestartedVMsDoNotRegisterAgain checks that VMs that are registered already discover each other by one read of the
+// registry. Registering again would take longer, since the store handles writes one after the other.
+func TestRestartedVMsDoNotRegisterAgain(t *testing.T) {
 	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
-		entered := vms.register.count()
-		assert.Assert(t, entered >= 7, "%d entered, by which all are found", entered)
+		registrations := vms.register.count()
+		assert.Assert(t, registrations >= 7, "%d registrations, too few for discovery", registrations)
 		for number, stop := range vms.stop {
 			stop()
 			synctest.Wait()
 			vms.addMember(t, number)
 		}
 		time.Sleep(300 * time.Millisecond)
-		assert.Equal(t, vms.register.count(), entered)
-		for _, part := range vms.parts {
-			assert.Equal(t, part.Known(), 36)
+		assert.Equal(t, vms.register.count(), registrations)
+		for _, instance := range vms.parts {
+			assert.Equal(t, instance.Known(), 36)
 		}
 		assert.Equal(t, len(vms.agreed(t)), 3)
 	})
 }
 
-// enterGone enters VMs with great links into the register that are gone for good.
+// registerGone registers VMs with large links that are permanently gone.
 func (vms *vms) enterGone(t *testing.T, count int) {
 	t.Helper()
 	for number := range count {
@@ -286,27 +289,27 @@
 	}
 }
 
-// TestVMFindsOthersBehindManyThatAreGone has a register in which 40 VMs with great links
-// are gone for good: a VM that greeted only the first of those that were away found nobody,
-// and decided by itself for ever.
-func TestVMFindsOthersBehindManyThatAreGone(t *testing.T) {
+// TestVMsFindEachOtherDespiteGoneVMs guards against VMs that find no live peer, and stay their own coordinators forever,
+// because they only say hello to the first VMs of the registry. Here these are 40 VMs with large links that are gone.
+func TestVMsFindEachOtherDespiteGoneVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 0)
 		defer vms.end()
 		vms.enterGone(t, 40)
 		vms.addFleet(t, 12)
 		time.Sleep(6 * time.Second)
-		chosen := vms.agreed(t)
-		assert.Equal(t, len(chosen), 3)
-		for _, vm := range chosen {
+		coordinators := vms.agreed(t)
+		assert.Equal(t, len(coordinators), 3)
+		for _, vm := range coordinators {
 			assert.Assert(t, numberOf(t, vm) < 6, "%s has a small link", vm)
 		}
 	})
 }
 
-// TestVMsAgreeSoon has VMs that start together behind 40 that are gone for good. Each greeted the ones that are away
-// in turns, and took 4 to 7 s to hear all who decide, though others that it heard named them.
-func TestVMsAgreeSoon(t *testing.T) {
+// TestVMsAgreeSoonDespiteGoneVMs guards against slow agreement on the coordinators when VMs start together and 40
+// registered VMs are gone. It takes 4 to 7 s if a VM says hello to the VMs that are down in round-robin order only,
+// instead of contacting the coordinators that a live peer names.
+func TestVMsAgreeSoonDespiteGoneVMs(t *testing.T) {
 	for range 10 {
 		synctest.Test(t, func(t *testing.T) {
 			vms := newVMs(t, 0)
@@ -319,9 +322,9 @@
 	}
 }
 
-// TestShareBehindManyThatAreGone has a register in which most VMs are gone for good: those that are there use limits
-// whole, since the others use nothing.
-func TestShareBehindManyThatAreGone(t *testing.T) {
+// TestShareIgnoresGoneVMs checks that live VMs use the limits whole when most registered VMs are permanently gone, since
+// these use nothing.
+func TestShareIgnoresGoneVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 0)
 		defer vms.end()
@@ -334,21 +337,21 @@
 	})
 }
 
-// sleeper is the clock of a VM that can be suspended.
+// suspendable is the clock of a VM that can be suspended. It runs ahead of time.Now by the time of the suspensions.
 type sleeper struct {
 	asleep atomic.Int64
 }
 
-func (sleeper *sleeper) now() time.Time {
-	return time.Now().Add(time.Duration(sleeper.asleep.Load()))
+func (suspendable *sleeper) now() time.Time {
+	return time.Now().Add(time.Duration(suspendable.asleep.Load()))
 }
 
-// TestVMThatWakesUpAsks has a VM that was suspended: it asks who decided before, and decides by itself only when nobody
-// answers for a moment.
-func TestVMThatWakesUpAsks(t *testing.T) {
-	for _, slept := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
-		for name, alone := range map[string]bool{"others are there": false, "others are gone": true} {
-			t.Run(slept.String()+", "+name, func(t *testing.T) {
+// TestResumedVMKeepsCoordinators guards against a VM that assigns requests by outdated reports right after a suspension.
+// It must keep its earlier coordinators, and become its own only when no peer answers within a short time.
+func TestResumedVMKeepsCoordinators(t *testing.T) {
+	for _, suspended := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
+		for name, unreachable := range map[string]bool{"peers are live": false, "peers are unreachable": true} {
+			t.Run(suspended.String()+", "+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					vms := newVMs(t, 0)
 					defer vms.end()
@@ -357,21 +360,21 @@
 					vms.clock = clock.now
 					vms.addMember(t, 20)
 					time.Sleep(3100 * time.Millisecond)
-					woken := vms.parts[5]
-					before := woken.Coordinators()
+					resumed := vms.parts[5]
+					before := resumed.Coordinators()
 					assert.Assert(t, before[0] != "vm-20")
 					for number := range 5 {
-						vms.network.SetDark(address(number), alone)
+						vms.network.SetDark(address(number), unreachable)
 					}
-					clock.asleep.Add(int64(slept))
-					woken.WokeUp(slept)
-					assert.Equal(t, woken.Coordinators()[0], before[0], "it knows whom to ask")
+					clock.asleep.Add(int64(suspended))
+					resumed.WokeUp(suspended)
+					assert.Equal(t, resumed.Coordinators()[0], before[0], "the earlier coordinator must be kept at first")
 					time.Sleep(700 * time.Millisecond)
 					want := before[0]
-					if alone {
+					if unreachable {
 						want = "vm-20"
 					}
-					assert.Equal(t, woken.Coordinators()[0], want)
+					assert.Equal(t, resumed.Coordinators()[0], want)
 				})
 			})
 		}
--- a/internal/exchange/counting_test.go
+++ b/internal/exchange/counting_test.go
@@ -9,7 +9,7 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// countingConn counts the datagrams with reports of its own that one VM sends.
+// countingConn counts the datagrams with reports that a VM sends.
 type countingConn struct {
 	net.PacketConn
 
@@ -22,5 +22,5 @@
 	if err := proto.Unmarshal(data, update); err == nil && update.GetVm() == conn.vm && len(update.GetSendings()) > 0 {
 		conn.sent.Add(1)
 	}
-	return conn.PacketConn.WriteTo(data, address) //nolint:wrapcheck // passes it on
+	return conn.PacketConn.WriteTo(data, address) //nolint:wrapcheck // forwards the call unchanged
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,9 @@
-// Package exchange tells the VMs of the system of each other's requests at
-// backend servers, in small datagrams. A datagram may be lost: what is under
-// way is told again at intervals, and what is not told again is forgotten.
+// Package exchange shares reports on requests in flight and on backend servers among the VMs of a fleet, in small UDP
+// datagrams. It also discovers the VMs, detects which of them are live, and selects the coordinators, which assign
+// requests to servers, and the readers, which read the store for their data centre.
+//
+// A datagram may be lost. Reports on what is in flight are therefore repeated in heartbeats, and a report that is not
+// repeated expires.
 package exchange
 
 import (
@@ -19,110 +22,115 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// maxSendings bounds a datagram: a sending takes about 45 bytes, and 1,200
-// bytes fit any path.
+// maxReportsPerDatagram keeps a datagram within 1,200 bytes, which fit the MTU of any path. An encoded report takes about
+// 45 bytes.
 const maxSendings = 26
 
-// maxDatagram is the largest datagram that is read.
+// maxDatagram is the size of the receive buffer, in bytes. A longer datagram is truncated.
 const maxDatagram = 8 << 10
 
-// shareTime is after how long a VM that is not heard is taken to be gone for good rather than cut off.
+// departedTimeout is the time without a datagram after which a VM counts as permanently gone rather than partitioned.
 const shareTime = 5 * time.Minute
 
-// Sink takes what other VMs tell.
+// Sink handles what other VMs send, and provides this VM's own state for the datagrams.
 type Sink interface {
+	// HandleReports handles the reports of another VM.
 	Told(vm string, reports []pool.Report)
+	// Own returns all current reports of this VM, which each heartbeat repeats.
 	Own() []pool.Report
-	// Asked takes requests of another VM that want servers.
+	// HandleRequests handles requests for servers that another VM sends to this coordinator.
 	Asked(vm string, asks []dispatch.Ask)
-	// Answered takes what another VM decided for requests of this one.
+	// HandleAnswers handles what another VM, a coordinator, decided for requests of this one.
 	Answered(vm string, answers []dispatch.Answer)
-	// Quarantined returns the requests that this VM keeps from servers, the last ones first.
+	// Quarantined returns the quarantined requests, which this VM sends to no server, the newest entries first.
 	Quarantined() []quarantine.Entry
-	// ToldQuarantined takes those of another VM.
+	// HandleQuarantined handles the quarantine entries of another VM.
 	ToldQuarantined(entries []quarantine.Entry)
-	// Blind reports whether the platform's store does not answer this VM.
+	// Blind reports whether the platform's store does not answer this VM. Datagrams carry it in the field of this name.
 	Blind() bool
 }
 
-// peer is another VM.
+// peer is what this VM has recorded of another VM.
 type peer struct {
 	Member
 
 	address net.Addr
-	// heard is when its last datagram came, or zero.
+	// lastSeen is when its last datagram arrived, or zero.
 	heard time.Time
-	// greeted is when it was last greeted since another VM named it, or zero.
+	// lastHello is when this VM last said hello to it because another VM named it, or zero.
 	greeted time.Time
-	// started is since when it takes datagrams, as far as it told.
+	// startedAt is since when it receives datagrams, by its own report, or zero if it has not reported that.
 	started time.Time
-	// blind says that the platform's store did not answer it.
+	// storeUnavailable reports whether the platform's store did not answer it, by its last report.
 	blind bool
-	// doubted says that it did not answer and was not heard since.
+	// unresponsive reports whether it failed to answer a request and has sent no datagram since.
 	doubted bool
 }
 
-// Exchange is this VM's part in the exchange.
+// Exchange sends and receives the datagrams of one VM, and tracks its peers. It is safe for concurrent use.
 type Exchange struct {
 	settings Settings
 	self     Member
 	register Register
-	// seeds has addresses of VMs to ask at the start, which may be away or gone.
+	// seeds holds the addresses of the VMs that are contacted first at the start. They may be down or gone.
 	seeds  []net.Addr
 	epochs *epoch.Watch
 	logger *slog.Logger
 	now    func() time.Time
 	conn   net.PacketConn
 
+	// mu guards the fields below. Callers of unexported methods that use these fields without locking must hold it.
 	mu sync.Mutex
-	// peers has the other VMs by name.
+	// peers holds the other VMs by name.
 	peers map[string]*peer
-	// pending has what is to be told.
+	// pending holds the reports that are queued for the next batch.
 	pending []pool.Report
-	// order has the VMs in the order in which they are asked to decide, this one among
-	// them, or is nil when it is to be made anew.
+	// coordinatorRanking holds all VMs, this one included, in order of preference as coordinator. It is nil when the
+	// rankings must be rebuilt.
 	order []string
-	// groups has those of each data centre in that order, data centres in the order of
-	// their first VMs. It is made with order.
+	// dataCentreRankings holds the VMs of each data centre in the same order, data centres in the order of their first VMs.
+	// It is built with coordinatorRanking.
 	groups [][]string
-	// byReader has the VMs of each data centre in the order in which they read the store for the others there. It is made
-	// with order.
+	// readerRankings holds the VMs of each data centre in order of preference as reader. It is built with
+	// coordinatorRanking.
 	byReader map[string][]string
-	// chosenSince has since when each of the VMs that decide does.
+	// coordinatorSince holds since when each current coordinator is one.
 	chosenSince map[string]time.Time
-	// turn counts those that were away and greeted.
+	// helloCursor is the position of the round-robin over VMs that are down.
 	turn int
-	// knownElsewhere is the most VMs that another one said it knew.
+	// reportedKnown is the largest number of known VMs that a peer has reported.
 	knownElsewhere int
-	// heardElsewhere is the most VMs that another one said it heard, and heardElsewhereAt when that was said last.
+	// reportedLive is the largest number of live VMs that a peer has reported recently, and reportedLiveAt the time of that
+	// report.
 	heardElsewhere   int
 	heardElsewhereAt time.Time
-	// met says that this VM knows whom to ask: the register was read, or a VM that decides for others answered.
+	// joined reports whether this VM can find the coordinators: it has read the registry, or a coordinator has answered.
 	met bool
-	// metNow is closed then.
+	// joinedSignal is closed when joined becomes true.
 	metNow chan struct{}
-	// entered says that this VM is in the register, as far as it knows.
+	// registered reports whether this VM was in the registry when it last read or wrote it.
 	entered bool
-	// counts has how many VMs were heard within times, as it was a moment ago.
+	// counts caches the results of countSeenWithin by their time window.
 	counts map[time.Duration]heardCount
-	// started is since when this VM takes datagrams.
+	// startedAt is since when this VM receives datagrams.
 	started time.Time
-	// wake has an element when there is something to tell.
+	// pendingSignal holds an element while reports are pending.
 	wake chan struct{}
 }
 
 var _ pool.Publisher = (*Exchange)(nil)
 
-// New returns an exchange that takes datagrams on conn, the address of self. The VMs at the addresses of seeds, which may
-// be away or gone, are asked first who else is there, and the register where none of them answers.
+// New returns an exchange that sends and receives datagrams on conn, which must be bound to the address of self. It
+// discovers the fleet through the VMs at the addresses of seeds, which may be down or gone, and through the registry if
+// none of them answers.
 func New(
-	settings Settings, self Member, conn net.PacketConn, seeds []string, register Register,
+	settings Settings, self Member, conn net.PacketConn, seeds []string, registry Register,
 	epochs *epoch.Watch, logger *slog.Logger, now func() time.Time,
 ) *Exchange {
 	return &Exchange{
 		settings: settings,
 		self:     self,
-		register: register,
+		register: registry,
 		seeds:    addressesOf(seeds, self, logger),
 		epochs:   epochs,
 		logger:   logger,
@@ -139,7 +147,7 @@
 	}
 }
 
-// Publish implements pool.Publisher. It never blocks.
+// Publish implements pool.Publisher. It queues a report for the next batch to the coordinators and never blocks.
 func (exchange *Exchange) Publish(report pool.Report) {
 	exchange.mu.Lock()
 	exchange.pending = append(exchange.pending, report)
@@ -150,8 +158,8 @@
 	}
 }
 
-// Members returns how many VMs share limits: those heard of lately, this one
-// among them. It reports false when this VM does not know yet whom to ask.
+// Members returns the number of live VMs, this one included, which share the limits. It reports false until this VM has
+// joined the fleet.
 func (exchange *Exchange) Members() (int, bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -162,51 +170,52 @@
 	return exchange.heardWithin(exchange.settings.Silence)
 }
 
-// Share implements pool.Publisher. Who hears more than half of all VMs decides for all of them; what less of them use
-// counts by their number, so that parts which are cut off from each other stay within one and a half times the whole.
-// VMs that nobody heard for shareTime use nothing.
+// Share implements pool.Publisher. It returns the part of the fleet's limits that this VM's partition may use. A partition
+// with a majority of the VMs may use all of them, and a smaller one a part proportional to its size, so that all
+// partitions together stay within one and a half times the limits. VMs without a datagram for departedTimeout don't count.
 func (exchange *Exchange) Share() float64 {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	live := exchange.members()
-	all := exchange.heardWithin(shareTime)
+	total := exchange.heardWithin(shareTime)
 	if exchange.now().Sub(exchange.heardElsewhereAt) < shareTime {
-		all = max(all, exchange.heardElsewhere)
+		total = max(total, exchange.heardElsewhere)
 	}
-	if 2*live > all {
+	if 2*live > total {
 		return 1
 	}
-	return float64(live) / float64(all)
+	return float64(live) / float64(total)
 }
 
-// heardCount is how many VMs were heard, as it was at a moment.
+// cachedCount is a number of VMs, and when it was counted.
 type heardCount struct {
 	count int
 	at    time.Time
 }
 
-// countAge is for how long such a count is used: each of thousands of datagrams a second tells it.
+// countCacheTTL is how long a cached count is used. The counts are part of heartbeat answers, of which there may be
+// thousands a second.
 const countAge = 20 * time.Millisecond
 
-// heardWithin returns how many VMs were heard within a time, this one among them.
-func (exchange *Exchange) heardWithin(within time.Duration) int {
+// countSeenWithin returns how many VMs sent a datagram within the window, this one included.
+func (exchange *Exchange) heardWithin(window time.Duration) int {
 	now := exchange.now()
-	if known, found := exchange.counts[within]; found && now.Sub(known.at) < countAge {
-		return known.count
+	if cached, found := exchange.counts[window]; found && now.Sub(cached.at) < countAge {
+		return cached.count
 	}
-	oldest := now.Add(-within)
+	oldest := now.Add(-window)
 	count := 1
 	for _, peer := range exchange.peers {
 		if peer.heard.After(oldest) {
 			count++
 		}
 	}
-	exchange.counts[within] = heardCount{count: count, at: now}
+	exchange.counts[window] = heardCount{count: count, at: now}
 	return count
 }
 
-// Known returns how many VMs were ever known, this one among them, as far as any that
-// decides for others knows.
+// KnownCount returns the number of VMs ever known, this one included. It is the maximum of this VM's count and those that
+// peers have reported.
 func (exchange *Exchange) Known() int {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -217,14 +226,16 @@
 	return max(exchange.knownElsewhere, 1+len(exchange.peers))
 }
 
+// live reports whether a datagram of the peer arrived within PeerTimeout.
 func (exchange *Exchange) live(peer *peer) bool {
 	return !peer.heard.IsZero() && exchange.now().Sub(peer.heard) < exchange.settings.Silence
 }
 
-// Run takes part in the exchange until ctx is done.
+// Run sends and receives datagrams until ctx is done, and closes the connection then. It returns an error if the
+// connection is closed before.
 func (exchange *Exchange) Run(ctx context.Context, sink Sink) error {
 	group, ctx := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(ctx, func() { _ = exchange.conn.Close() }) // ends the reader
+	stop := context.AfterFunc(ctx, func() { _ = exchange.conn.Close() }) // unblocks receive
 	defer stop()
 	group.Go(func() error { return exchange.receive(ctx, sink) })
 	group.Go(func() error {
@@ -247,7 +258,7 @@
 	return group.Wait()
 }
 
-// tellChanges tells the VMs that decide of changes as they come.
+// sendChanges sends pending reports to the coordinators, after waiting BatchDelay for more of them.
 func (exchange *Exchange) tellChanges(ctx context.Context) {
 	for {
 		select {
@@ -264,7 +275,7 @@
 	}
 }
 
-// tellAll tells of all that is under way at intervals, and greets some VMs that are away.
+// sendHeartbeats sends a heartbeat with all of this VM's reports once per HeartbeatInterval.
 func (exchange *Exchange) tellAll(ctx context.Context, sink Sink) {
 	for wait.For(ctx, exchange.settings.Repeat) {
 		exchange.sendAll(exchange.watched(), sink.Own(), sink.Quarantined())
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -22,61 +22,61 @@
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 )
 
-var errAway = errors.New("register is away")
+var errAway = errors.New("registry is unavailable")
 
-// register is a register in memory.
+// registry is an exchange.Registry in memory.
 type register struct {
 	mu      sync.Mutex
 	members map[string]exchange.Member
 	away    bool
-	// entered counts how often a VM entered, and listed how often one listed the others.
+	// registrations and listings count the calls of Register and List.
 	entered, listed int
 }
 
 var _ exchange.Register = (*register)(nil)
 
-func (register *register) Enter(_ context.Context, member exchange.Member) error {
-	register.mu.Lock()
-	defer register.mu.Unlock()
-	if register.away {
+func (registry *register) Enter(_ context.Context, member exchange.Member) error {
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	if registry.away {
 		return errAway
 	}
-	register.members[member.VM] = member
-	register.entered++
+	registry.members[member.VM] = member
+	registry.entered++
 	return nil
 }
 
-func (register *register) List(context.Context) ([]exchange.Member, error) {
-	register.mu.Lock()
-	defer register.mu.Unlock()
-	register.listed++
+func (registry *register) List(context.Context) ([]exchange.Member, error) {
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	registry.listed++
 	var list []exchange.Member
-	for _, member := range register.members {
+	for _, member := range registry.members {
 		list = append(list, member)
 	}
 	return list, nil
 }
 
-func (register *register) count() int {
-	register.mu.Lock()
-	defer register.mu.Unlock()
-	return register.entered
+func (registry *register) count() int {
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	return registry.entered
 }
 
-func (register *register) setAway(away bool) {
-	register.mu.Lock()
-	defer register.mu.Unlock()
-	register.away = away
+func (registry *register) setAway(unavailable bool) {
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	registry.away = unavailable
 }
 
-// sink has what one VM sends, and what it was told.
+// sink is an exchange.Sink that provides the reports of one VM, and records what the VM receives.
 type sink struct {
 	mu   sync.Mutex
 	own  []pool.Report
 	told map[string][]pool.Report
-	// blind says that the store does not answer the VM.
+	// storeUnavailable reports whether the store does not answer the VM.
 	blind bool
-	// entries has the requests that the VM keeps from servers.
+	// entries holds the quarantined requests.
 	entries []quarantine.Entry
 }
 
@@ -121,10 +121,10 @@
 	return sink.blind
 }
 
-func (sink *sink) setBlind(blind bool) {
+func (sink *sink) setBlind(storeUnavailable bool) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	sink.blind = blind
+	sink.blind = storeUnavailable
 }
 
 func (sink *sink) toldBy(vm string) []pool.Report {
@@ -133,7 +133,7 @@
 	return slices.Clone(sink.told[vm])
 }
 
-// vms is a few VMs on one network.
+// vms is a fleet of VMs on one in-memory network. The slices are indexed by VM number.
 type vms struct {
 	settings exchange.Settings
 	network  *memnet.Network
@@ -141,12 +141,12 @@
 	parts    []*exchange.Exchange
 	sinks    []*sink
 	stop     []context.CancelFunc
-	// clock is that of VMs that are added from now on.
+	// clock is the clock of VMs that addMember adds.
 	clock func() time.Time
 }
 
 func address(number int) string {
-	const perNet = 250 // an IP number has 255 at most in a place
+	const perNet = 250 // an octet of an IP address is at most 255
 	return fmt.Sprintf("10.0.%d.%d:7340", number/perNet, number%perNet+1)
 }
 
@@ -166,15 +166,15 @@
 	vms.join(t, number, "", conn)
 }
 
-// join lets a VM of a data centre take part over conn.
+// join starts a VM of the data centre on conn.
 func (vms *vms) join(t *testing.T, number int, dataCentre string, conn net.PacketConn) {
 	t.Helper()
 	self := exchange.Member{VM: fmt.Sprintf("vm-%d", number), Address: address(number), DataCentre: dataCentre}
-	part := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
+	instance := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 	sink := &sink{told: make(map[string][]pool.Report)}
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { _ = part.Run(ctx, sink) }()
-	vms.parts, vms.sinks, vms.stop = append(vms.parts, part), append(vms.sinks, sink), append(vms.stop, stop)
+	go func() { _ = instance.Run(ctx, sink) }()
+	vms.parts, vms.sinks, vms.stop = append(vms.parts, instance), append(vms.sinks, sink), append(vms.stop, stop)
 }
 
 func (vms *vms) end() {
@@ -186,47 +186,48 @@
 
 func (vms *vms) members() []int {
 	var counts []int
-	for _, part := range vms.parts {
-		count, _ := part.Members()
+	for _, instance := range vms.parts {
+		count, _ := instance.Members()
 		counts = append(counts, count)
 	}
 	return counts
 }
 
-func TestMembers(t *testing.T) {
+// TestLiveCount checks how many live VMs each VM counts after VMs stop, join, are partitioned or return.
+func TestLiveCount(t *testing.T) {
 	tests := map[string]struct {
-		happen func(t *testing.T, vms *vms)
+		change func(t *testing.T, vms *vms)
 		want   []int
 	}{
-		"all find each other": {
-			happen: func(*testing.T, *vms) {},
+		"all VMs discover each other": {
+			change: func(*testing.T, *vms) {},
 			want:   []int{3, 3, 3},
 		},
-		"one that stops is missed": {
-			happen: func(_ *testing.T, vms *vms) {
+		"a VM stops": {
+			change: func(_ *testing.T, vms *vms) {
 				vms.stop[2]()
 				vms.parts = vms.parts[:2]
 			},
 			want: []int{2, 2},
 		},
-		"one that joins is found by all": {
-			happen: func(t *testing.T, vms *vms) { vms.add(t, 3) },
+		"a VM joins": {
+			change: func(t *testing.T, vms *vms) { vms.add(t, 3) },
 			want:   []int{4, 4, 4, 4},
 		},
-		"one that is cut off is alone": {
-			happen: func(_ *testing.T, vms *vms) { vms.network.SetDark(address(0), true) },
+		"a VM is partitioned": {
+			change: func(_ *testing.T, vms *vms) { vms.network.SetDark(address(0), true) },
 			want:   []int{1, 2, 2},
 		},
-		"and is found again": {
-			happen: func(_ *testing.T, vms *vms) {
+		"a partitioned VM returns": {
+			change: func(_ *testing.T, vms *vms) {
 				vms.network.SetDark(address(0), true)
 				time.Sleep(10 * time.Second)
 				vms.network.SetDark(address(0), false)
 			},
 			want: []int{3, 3, 3},
 		},
-		"one that joins while the register is away is found later": {
-			happen: func(t *testing.T, vms *vms) {
+		"a VM joins while the registry is unavailable": {
+			change: func(t *testing.T, vms *vms) {
 				vms.register.setAway(true)
 				vms.add(t, 3)
 				time.Sleep(5 * time.Second)
@@ -241,7 +242,7 @@
 				vms := newVMs(t, 3)
 				defer vms.end()
 				time.Sleep(time.Second)
-				test.happen(t, vms)
+				test.change(t, vms)
 				time.Sleep(4 * time.Second)
 				assert.DeepEqual(t, vms.members(), test.want)
 			})
@@ -249,7 +250,8 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+// TestReportsReachPeers checks that a published report arrives unchanged, and that heartbeats repeat all own reports.
+func TestReportsReachPeers(t *testing.T) {
 	report := pool.Report{
 		ID: 7, Server: "s1", Phase: pool.PhaseWriting, Work: 1500 * time.Microsecond, Memory: 133_000,
 		Gap: 250 * time.Millisecond, Tight: true, Helps: true, Age: 20 * time.Millisecond,
@@ -261,7 +263,7 @@
 		vms.parts[0].Publish(report)
 		time.Sleep(5 * time.Millisecond)
 		assert.DeepEqual(t, vms.sinks[1].toldBy("vm-0"), []pool.Report{report})
-		// What is under way is told again, in as many datagrams as it takes.
+		// Heartbeats repeat the own reports, in as many datagrams as needed.
 		var own []pool.Report
 		for id := range 100 {
 			own = append(own, pool.Report{ID: uint64(id), Server: "s1", Phase: pool.PhaseReading})
@@ -274,7 +276,8 @@
 	})
 }
 
-func TestDatagramsThatAreNoneAreLeftOut(t *testing.T) {
+// TestMalformedDatagramsAreIgnored checks that a VM that receives malformed datagrams keeps running, and adds no peers.
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 2)
 		defer vms.end()
@@ -293,7 +296,7 @@
 	})
 }
 
-// memoryAddress is an address on the network in memory.
+// memoryAddress is an address on a memnet.Network.
 type memoryAddress string
 
 func (memoryAddress) Network() string        { return "memory" }
--- a/internal/exchange/main_test.go
+++ b/internal/exchange/main_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestMain makes the random checks the same in every run, unless the command
-// line gives another seed.
+// TestMain fixes the seed of the property-based tests, so that all runs draw the same cases unless the command line sets
+// another seed.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // rapid has declared it
-	flag.Int(flagWhole, 0, "how many VMs whole fleets have")
+	_ = flag.Set("rapid.seed", "1") // rapid declares this flag
+	flag.Int(flagWhole, 0, "the number of VMs of large fleets; zero selects the default sizes")
 	flag.Parse()
 	os.Exit(m.Run())
 }
--- a/internal/exchange/quarantined.go
+++ b/internal/exchange/quarantined.go
@@ -11,33 +11,33 @@
 
 var _ quarantine.Publisher = (*Exchange)(nil)
 
-// Entries in one datagram, of about 18 bytes each: the last ones, which others may not know
-// yet, and some of the rest.
+// Limits on the entries in one datagram, which take about 18 bytes each. The newest entries are always included, since
+// other VMs may not have them yet, and a random sample of the older ones.
 const (
 	quarantinedLast = 16
 	quarantinedRest = 16
 )
 
-// Announce implements quarantine.Publisher: all VMs that are known get a datagram, which one that
-// repeats makes up for where it is lost.
+// Announce implements quarantine.Publisher. It sends the entries to all known VMs at once. Heartbeats and their answers
+// repeat them, which makes up for lost datagrams.
 func (exchange *Exchange) Announce(entries []quarantine.Entry) {
 	update := exchange.update()
 	update.Quarantined = encodeQuarantined(entries, exchange.now())
 	exchange.sendTo(exchange.everyone(), update)
 }
 
-// encodeQuarantined tells of entries, the last ones of which come first.
+// encodeQuarantined encodes the newest of entries and a random sample of the others. The newest entry must come first.
 func encodeQuarantined(entries []quarantine.Entry, now time.Time) []*wire.Quarantined {
-	last := entries[:min(quarantinedLast, len(entries))]
-	rest := entries[len(last):]
-	told := make([]*wire.Quarantined, 0, quarantinedLast+quarantinedRest)
-	for _, entry := range last {
-		told = append(told, encodeEntry(entry, now))
+	newest := entries[:min(quarantinedLast, len(entries))]
+	older := entries[len(newest):]
+	encoded := make([]*wire.Quarantined, 0, quarantinedLast+quarantinedRest)
+	for _, entry := range newest {
+		encoded = append(encoded, encodeEntry(entry, now))
 	}
-	for _, at := range rand.Perm(len(rest))[:min(quarantinedRest, len(rest))] { //nolint:gosec // no secret
-		told = append(told, encodeEntry(rest[at], now))
+	for _, index := range rand.Perm(len(older))[:min(quarantinedRest, len(older))] { //nolint:gosec // not security-sensitive
+		encoded = append(encoded, encodeEntry(older[index], now))
 	}
-	return told
+	return encoded
 }
 
 func encodeEntry(entry quarantine.Entry, now time.Time) *wire.Quarantined {
@@ -48,9 +48,9 @@
 	}
 }
 
-func decodeQuarantined(told []*wire.Quarantined, now time.Time) []quarantine.Entry {
-	entries := make([]quarantine.Entry, 0, len(told))
-	for _, quarantined := range told {
+func decodeQuarantined(encoded []*wire.Quarantined, now time.Time) []quarantine.Entry {
+	entries := make([]quarantine.Entry, 0, len(encoded))
+	for _, quarantined := range encoded {
 		entries = append(entries, quarantine.Entry{
 			Fingerprint: fingerprint.Fingerprint(quarantined.GetFingerprint()),
 			Until:       now.Add(time.Duration(quarantined.GetLeftMs()) * time.Millisecond),
--- a/internal/exchange/quarantined_test.go
+++ b/internal/exchange/quarantined_test.go
@@ -10,32 +10,33 @@
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 )
 
-// allMustKnow is within what time all VMs must know of a request under which servers crash.
+// quarantineDeadline is the time within which all VMs must receive a quarantine entry.
 const allMustKnow = 3 * time.Second
 
-// TestEntriesReachAllVMs has one of the VMs that decide find a request under which servers crash. The others are told
-// at once; where that is lost, and the one that found it is gone, by those that it told.
-func TestEntriesReachAllVMs(t *testing.T) {
+// TestQuarantineEntriesReachAllVMs guards against VMs that miss the quarantine entry of a request that crashes servers. A
+// coordinator detects the request. The entry must reach all VMs through its announcement, through heartbeats if the
+// announcement is lost, and through the other coordinators if the first one is killed after its next heartbeat.
+func TestQuarantineEntriesReachAllVMs(t *testing.T) {
 	for _, count := range []int{6, 76, 295} {
-		for name, happen := range map[string]func(vms *vms, finder int, entries []quarantine.Entry){
-			"told by all": func(vms *vms, finder int, entries []quarantine.Entry) {
-				vms.parts[finder].Announce(entries)
+		for name, announce := range map[string]func(vms *vms, coordinator int, entries []quarantine.Entry){
+			"announced": func(vms *vms, coordinator int, entries []quarantine.Entry) {
+				vms.parts[coordinator].Announce(entries)
 			},
 			"the announcement is lost": func(*vms, int, []quarantine.Entry) {},
-			"the finder is killed soon after": func(vms *vms, finder int, _ []quarantine.Entry) {
-				time.Sleep(600 * time.Millisecond) // in which the others that decide hear from it once
-				vms.stop[finder]()
-				vms.network.SetDark(address(finder), true)
+			"the coordinator is killed after one heartbeat": func(vms *vms, coordinator int, _ []quarantine.Entry) {
+				time.Sleep(600 * time.Millisecond) // one heartbeat reaches the other coordinators
+				vms.stop[coordinator]()
+				vms.network.SetDark(address(coordinator), true)
 			},
 		} {
 			t.Run(fmt.Sprintf("%d VMs, %s", count, name), func(t *testing.T) {
 				inFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
-					finder := numberOf(t, vms.agreed(t)[0])
+					coordinator := numberOf(t, vms.agreed(t)[0])
 					entries := []quarantine.Entry{{Fingerprint: 7, Until: time.Now().Add(time.Minute), Times: 1}}
-					vms.sinks[finder].ToldQuarantined(entries)
-					found := time.Now()
-					happen(vms, finder, entries)
-					time.Sleep(allMustKnow - time.Since(found))
+					vms.sinks[coordinator].ToldQuarantined(entries)
+					detected := time.Now()
+					announce(vms, coordinator, entries)
+					time.Sleep(allMustKnow - time.Since(detected))
 					for number, sink := range vms.sinks {
 						assert.Equal(t, len(sink.Quarantined()), 1, "vm-%d", number)
 					}
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestNewVMLearnsEntries has a VM that starts after the finding.
-func TestNewVMLearnsEntries(t *testing.T) {
+// TestNewVMReceivesQuarantineEntries checks that a VM that starts after the announcement receives the entries too.
+func TestNewVMReceivesQuarantineEntries(t *testing.T) {
 	inFleet(t, 12, func(t *testing.T, vms *vms, _ []*countingConn) {
 		entries := []quarantine.Entry{{Fingerprint: 7, Until: time.Now().Add(time.Minute), Times: 1}}
 		vms.sinks[0].ToldQuarantined(entries)
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -13,42 +13,42 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// receive takes datagrams until ctx is done.
+// receive reads and handles datagrams until ctx is done. It returns an error if the connection is closed before.
 func (exchange *Exchange) receive(ctx context.Context, sink Sink) error {
 	buffer := make([]byte, maxDatagram)
 	for {
 		count, _, err := exchange.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
-			return nil //nolint:nilerr // the socket was closed to end this
+			return nil //nolint:nilerr // Run closed the connection because ctx is done
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return errors.Wrap(err, "exchange")
+			return errors.Wrap(err, "reading datagrams")
 		}
 		if err != nil {
-			exchange.logger.Debug("datagram not read", "error", err)
+			exchange.logger.Debug("failed to read a datagram", "error", err)
 			continue
 		}
 		update := &wire.LoadUpdate{}
 		if err := proto.Unmarshal(buffer[:count], update); err != nil || update.GetVm() == "" {
-			exchange.logger.Warn("datagram not understood", "bytes", count, "error", err)
+			exchange.logger.Warn("ignoring a malformed datagram", "bytes", count, "error", err)
 			continue
 		}
 		exchange.received(update, sink)
 	}
 }
 
-// received takes one datagram.
+// handle processes one datagram. It ignores datagrams of this VM itself.
 func (exchange *Exchange) received(update *wire.LoadUpdate, sink Sink) {
 	if update.GetVm() == exchange.self.VM {
 		return
 	}
 	exchange.meet(update)
-	address, returned, known := exchange.hear(update)
-	if !known {
+	address, returned, found := exchange.hear(update)
+	if !found {
 		return
 	}
 	if returned {
-		exchange.logger.Debug("VM heard", "peer", update.GetVm(), "address", update.GetAddress())
+		exchange.logger.Debug("VM is live", "peer", update.GetVm(), "address", update.GetAddress())
 	}
 	exchange.epochs.Hint(epoch.Number(update.GetEpoch()))
 	exchange.reply(update, address, returned, sink)
@@ -69,7 +69,7 @@
 	}
 }
 
-// meet takes in the VMs that a datagram names, where they are new or moved.
+// addNamedPeers adds the sender and the VMs that a datagram names to the peers, where they are new or have a new address.
 func (exchange *Exchange) meet(update *wire.LoadUpdate) {
 	if update.GetHello() || !exchange.knows(update) {
 		exchange.know(memberOf(update))
@@ -81,26 +81,26 @@
 	}
 }
 
-// greetNamed greets VMs that another one says decide, or may read the store for this one, and that were not heard here.
-// In turns with all that are away VMs which start together behind many that are gone would agree on who decides only
-// after seconds.
+// sayHello says hello at once to coordinators and reader candidates that another VM named and that are down here. If
+// they only took their turn in the round-robin over all VMs that are down, VMs that start together while many registered
+// VMs are gone would need seconds to agree on the coordinators.
 func (exchange *Exchange) greetNamed(named []*wire.Peer) {
 	exchange.mu.Lock()
 	now := exchange.now()
 	var addresses []net.Addr
-	for _, peer := range named {
-		known := exchange.peers[peer.GetVm()]
-		if known == nil || exchange.live(known) || now.Sub(known.greeted) < exchange.settings.Repeat {
+	for _, info := range named {
+		peer := exchange.peers[info.GetVm()]
+		if peer == nil || exchange.live(peer) || now.Sub(peer.greeted) < exchange.settings.Repeat {
 			continue
 		}
-		known.greeted = now
-		addresses = append(addresses, known.address)
+		peer.greeted = now
+		addresses = append(addresses, peer.address)
 	}
 	exchange.mu.Unlock()
 	exchange.send(addresses, nil, true)
 }
 
-// located is a VM as a datagram names it.
+// peerInfo is the identity of a VM in a datagram, as its sender or among the VMs that it names.
 type located interface {
 	GetVm() string
 	GetAddress() string
@@ -108,45 +108,46 @@
 	GetCapacity() uint32
 }
 
-func memberOf(named located) Member {
+func memberOf(info located) Member {
 	return Member{
-		VM: named.GetVm(), Address: named.GetAddress(),
-		DataCentre: named.GetDataCentre(), Capacity: int(named.GetCapacity()),
+		VM: info.GetVm(), Address: info.GetAddress(),
+		DataCentre: info.GetDataCentre(), Capacity: int(info.GetCapacity()),
 	}
 }
 
-// knows reports whether a VM is known at its address, with its data centre where that is told. Most datagrams
-// do not tell it, and a VM that was first heard by one of these was left out of its data centre's VMs for good.
-func (exchange *Exchange) knows(named located) bool {
+// isKnown reports whether a peer is recorded with this address and, if info has a data centre, with a data centre. Most
+// datagrams lack it; a VM whose first datagram lacked it would otherwise stay without a data centre forever.
+func (exchange *Exchange) knows(info located) bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	known := exchange.peers[named.GetVm()]
-	return known != nil && known.Address == named.GetAddress() &&
-		(known.DataCentre != "" || named.GetDataCentre() == "")
+	peer := exchange.peers[info.GetVm()]
+	return peer != nil && peer.Address == info.GetAddress() &&
+		(peer.DataCentre != "" || info.GetDataCentre() == "")
 }
 
-// hear notes that a VM was heard. It returns its address and whether it was silent
-// before.
+// recordContact records that a datagram arrived from its sender. It returns the sender's address, whether the sender was
+// down before, and whether it is a known peer.
 func (exchange *Exchange) hear(update *wire.LoadUpdate) (address net.Addr, returned, found bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	known := exchange.peers[update.GetVm()]
-	if known == nil {
+	peer := exchange.peers[update.GetVm()]
+	if peer == nil {
 		return nil, false, false
 	}
-	returned = !exchange.live(known)
-	known.heard = exchange.now()
-	known.doubted = false
-	if up := update.GetUpMs(); up > 0 {
-		known.started = known.heard.Add(-time.Duration(up) * time.Millisecond)
-		known.blind = update.GetBlind()
+	returned = !exchange.live(peer)
+	peer.heard = exchange.now()
+	peer.doubted = false
+	if uptime := update.GetUpMs(); uptime > 0 {
+		peer.started = peer.heard.Add(-time.Duration(uptime) * time.Millisecond)
+		peer.blind = update.GetBlind()
 	}
 	exchange.knownElsewhere = max(exchange.knownElsewhere, int(update.GetKnown()))
 	exchange.noteHeard(int(update.GetHeard()))
-	return known.address, returned, true
+	return peer.address, returned, true
 }
 
-// noteHeard takes over how many VMs another one hears. Fewer than before count once more were not told of for long.
+// recordReportedLive records how many VMs are live by a peer's report. A smaller number replaces a larger one only when
+// the larger one has not been reported for departedTimeout.
 func (exchange *Exchange) noteHeard(count int) {
 	now := exchange.now()
 	if count >= exchange.heardElsewhere || now.Sub(exchange.heardElsewhereAt) >= shareTime {
@@ -155,16 +156,16 @@
 	}
 }
 
-// reply answers a VM that wants to know whether it is heard, or that returned. One that decides and greets may have
-// started again before its silence was noticed: it is told of all at once, since it knows nothing.
+// reply answers a ping or hello. A coordinator that returned or said hello receives all of this VM's reports at once,
+// since it may have restarted without them, even before PeerTimeout detected that it was down.
 func (exchange *Exchange) reply(update *wire.LoadUpdate, address net.Addr, returned bool, sink Sink) {
 	exchange.mu.Lock()
-	decides := (returned || update.GetHello()) && exchange.decides(update.GetVm())
+	isCoordinator := (returned || update.GetHello()) && exchange.decides(update.GetVm())
 	exchange.mu.Unlock()
 	if update.GetPing() || update.GetHello() {
 		exchange.pong(update, address, sink)
 	}
-	if decides {
+	if isCoordinator {
 		exchange.sendAll([]net.Addr{address}, sink.Own(), sink.Quarantined())
 	}
 }
--- a/internal/exchange/register.go
+++ b/internal/exchange/registry.go
@@ -13,26 +13,30 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Member is a VM of the system.
+// Member is a VM of the fleet, as the registry stores it.
 type Member struct {
 	VM string `json:"vm"`
-	// Address is where the VM takes datagrams, and calls of other VMs.
+	// Address is the host and port where the VM receives datagrams, and calls of other VMs.
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Capacity is that of the VM's link, in Mbit/s.
+	// Capacity is the capacity of the VM's network link, in Mbit/s.
 	Capacity int `json:"capacity"`
-	// First says that all VMs start for the first time, so that the register is empty.
+	// FirstStart reports whether the whole fleet starts for the first time, so that the registry is empty.
 	First bool `json:"-"`
 }
 
-// Register is where VMs find each other that know no other way. A few of them are in it, through which all are found: if
-// each VM were, what all write at a start, and read there, would grow beyond what the store takes in the time for it.
+// Registry lists VMs in the platform's store, for VMs that can't discover the fleet through seeds. It holds a few
+// bootstrap VMs, through which the others are found: if every VM registered, the reads and writes of a fleet-wide start
+// would exceed what the store can handle within the start-up time.
 type Register interface {
+	// Register adds a VM, or replaces its record.
 	Enter(ctx context.Context, member Member) error
+	// List returns all registered VMs, which may be down or gone.
 	List(ctx context.Context) ([]Member, error)
 }
 
-// enter finds the other VMs: through those that the settings name or, where none of them answers, through the register.
+// join discovers the other VMs through the seeds or, if that fails, through the registry. It retries with backoff until
+// it succeeds or ctx is done.
 func (exchange *Exchange) enter(ctx context.Context) {
 	backoff := wait.NewBackoff(exchange.settings.Register, exchange.settings.RegisterMax)
 	for !exchange.askSeeds(ctx) && ctx.Err() == nil {
@@ -42,16 +46,16 @@
 			exchange.noteMet()
 			return
 		}
-		exchange.logger.Warn("register not reached", "error", err)
+		exchange.logger.Warn("failed to join through the registry; retrying with backoff", "error", err)
 		backoff.Wait(ctx)
 	}
 }
 
-// enterOnce lists the VMs, and enters this one if there are few, or none of them answers.
+// joinThroughRegistry contacts the registered VMs, and registers this one if there are few or none of them answers.
 func (exchange *Exchange) enterOnce(ctx context.Context) error {
 	if exchange.self.First {
-		// All others do so too: most of them find those that came first.
-		wait.For(ctx, rand.N(exchange.settings.Register)) //nolint:gosec // no secret
+		// All VMs read the registry now. The random delay lets most of them find VMs that registered before.
+		wait.For(ctx, rand.N(exchange.settings.Register)) //nolint:gosec // not security-sensitive
 	}
 	members, err := exchange.list(ctx)
 	if err != nil {
@@ -64,7 +68,7 @@
 	if err := exchange.enterNow(ctx); err != nil {
 		return err
 	}
-	// Others may have entered at the same time.
+	// Other VMs may have registered at the same time.
 	members, err = exchange.list(ctx)
 	if err != nil {
 		return err
@@ -73,18 +77,18 @@
 	return nil
 }
 
-// foundBy is how many VMs in the register are enough to find all others.
+// bootstrapCount returns how many registered VMs are enough for discovery of the whole fleet.
 func (exchange *Exchange) foundBy() int {
 	return exchange.settings.Coordinators + exchange.settings.Greet
 }
 
-// list reads the register, takes in the VMs there, and notes whether this one is among them.
+// readRegistry adds the registered VMs to the peers, and records whether this VM is registered.
 func (exchange *Exchange) list(ctx context.Context) ([]Member, error) {
 	bounded, cancel := context.WithTimeout(ctx, exchange.settings.Patience)
 	defer cancel()
 	members, err := exchange.register.List(bounded)
 	if err != nil {
-		return nil, errors.Wrap(err, "list of VMs")
+		return nil, errors.Wrap(err, "listing registered VMs")
 	}
 	for _, member := range members {
 		exchange.know(member)
@@ -95,12 +99,12 @@
 	return members, nil
 }
 
-// enterNow writes this VM into the register.
+// register writes this VM into the registry.
 func (exchange *Exchange) enterNow(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, exchange.settings.Patience)
 	defer cancel()
 	if err := exchange.register.Enter(bounded, exchange.record()); err != nil {
-		return errors.Wrap(err, "entry of this VM")
+		return errors.Wrap(err, "registering this VM")
 	}
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -108,11 +112,11 @@
 	return nil
 }
 
-// record is this VM as the register has it.
+// registryEntry returns this VM as the registry stores it.
 func (exchange *Exchange) record() Member {
-	record := exchange.self
-	record.First = false
-	return record
+	registryEntry := exchange.self
+	registryEntry.First = false
+	return registryEntry
 }
 
 func (exchange *Exchange) isEntered() bool {
@@ -121,10 +125,10 @@
 	return exchange.entered
 }
 
-// isAnswered reports whether a VM of the register answers, which may be starting too.
+// awaitLivePeer waits for a datagram of a peer, which may be starting too, and reports whether one arrived in time.
 func (exchange *Exchange) isAnswered(ctx context.Context) bool {
-	until := exchange.now().Add(wait.Drawn(wakeTime))
-	for exchange.now().Before(until) {
+	deadline := exchange.now().Add(wait.Drawn(wakeTime))
+	for exchange.now().Before(deadline) {
 		if exchange.hearsOthers() {
 			return true
 		}
@@ -135,7 +139,7 @@
 	return false
 }
 
-// answerTick is the time between looks whether a VM has answered.
+// livePeerPollInterval is the time between checks whether a peer has answered.
 const answerTick = 10 * time.Millisecond
 
 func (exchange *Exchange) hearsOthers() bool {
@@ -144,18 +148,18 @@
 	return exchange.members() > 1
 }
 
-// meetAll greets the VMs of the register.
+// contactMembers says hello to the VMs that were just read from the registry.
 func (exchange *Exchange) meetAll(members []Member) {
-	current, told := exchange.epochs.Current()
-	exchange.logger.Info("register read", "members", len(members), "epoch", current, "epoch_told", told)
+	current, known := exchange.epochs.Current()
+	exchange.logger.Info("read the registry", "members", len(members), "epoch", current, "epoch_told", known)
 	if exchange.gatheredIn() <= 0 {
 		exchange.noteMet()
 	}
 	exchange.send(exchange.greeted(), nil, true)
 }
 
-// stayFound keeps this VM in the register for as long as it is one through which others are found, and looks for the
-// others again while it hears none of them.
+// maintainRegistration registers this VM whenever it is a bootstrap VM that is not registered, and repeats the discovery
+// while none of its peers is live.
 func (exchange *Exchange) stayFound(ctx context.Context) {
 	backoff := wait.NewBackoff(exchange.settings.Enter, exchange.settings.RegisterMax)
 	for backoff.Wait(ctx) {
@@ -170,36 +174,37 @@
 			backoff.Reset()
 		}
 		if err != nil {
-			exchange.logger.Warn("register not reached", "error", err)
+			exchange.logger.Warn("failed to check the registration; retrying with backoff", "error", err)
 		}
 	}
 }
 
-// isLost reports whether this VM knows others and hears none of them.
+// isIsolated reports whether this VM has peers and all of them are down.
 func (exchange *Exchange) isLost() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	return len(exchange.peers) > 0 && exchange.members() == 1
 }
 
-// belongs reports whether this VM is one through which others are found: it is among the first in the order.
+// shouldBeRegistered reports whether this VM has joined the fleet and is a bootstrap VM.
 func (exchange *Exchange) belongs() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	return exchange.met && exchange.amongFirst()
 }
 
-// wakeTime is for how long a VM that wakes up takes others to be there that it heard just before it was suspended: they
-// answer within milliseconds.
+// peerAnswerTimeout is how long a VM waits for an answer of registered VMs before it registers itself, and how long after
+// a suspension the peers that were live before it count as live. Live peers answer within milliseconds.
 const wakeTime = 150 * time.Millisecond
 
-// WokeUp greets the VMs that this one keeps in touch with after a suspension of so long. Until they had time to answer those
-// that were there before count as live: else the VM would decide by itself, by what it knew before.
-func (exchange *Exchange) WokeUp(slept time.Duration) {
+// Resumed says hello to the peers after this VM was suspended for the given time. Peers that were live before count as
+// live for peerAnswerTimeout, so that they have time to answer. Otherwise this VM would become its own coordinator and
+// assign requests by outdated reports.
+func (exchange *Exchange) WokeUp(suspended time.Duration) {
 	exchange.mu.Lock()
 	now := exchange.now()
 	for _, peer := range exchange.peers {
-		wasLive := !peer.heard.IsZero() && now.Sub(peer.heard)-slept < exchange.settings.Silence
+		wasLive := !peer.heard.IsZero() && now.Sub(peer.heard)-suspended < exchange.settings.Silence
 		if wasLive && !exchange.live(peer) {
 			peer.heard = now.Add(wakeTime - exchange.settings.Silence)
 		}
@@ -208,14 +213,14 @@
 	exchange.send(exchange.greeted(), nil, true)
 }
 
-// know takes a VM into the peers.
+// addPeer adds a VM to the peers, or updates it. It ignores this VM and VMs with an invalid address.
 func (exchange *Exchange) know(member Member) {
 	if member.VM == exchange.self.VM {
 		return
 	}
 	parsed, err := netip.ParseAddrPort(member.Address)
 	if err != nil {
-		exchange.logger.Error("address of a VM not understood", "peer", member.VM, "address", member.Address, "error", err)
+		exchange.logger.Error("invalid address of a VM; ignoring it", "peer", member.VM, "address", member.Address, "error", err)
 		return
 	}
 	exchange.mu.Lock()
@@ -228,50 +233,50 @@
 	if member.DataCentre == "" {
 		member.DataCentre, member.Capacity = known.DataCentre, known.Capacity
 	}
-	moved := member.Capacity != known.Capacity || member.DataCentre != known.DataCentre
+	rankChanged := member.Capacity != known.Capacity || member.DataCentre != known.DataCentre
 	known.Member = member
 	known.address = net.UDPAddrFromAddrPort(parsed)
 	switch {
-	case found && moved:
+	case found && rankChanged:
 		exchange.order = nil
 	case !found && exchange.order != nil:
 		exchange.rank(member.VM)
 	}
 }
 
-// Reenter enters this VM again if the register, which came back older, does not have it any more. VMs look at moments
-// of their own, so that the store is not asked by all at once.
+// Reregister registers this VM again if the registry, restored from an older copy, has lost it. It does nothing if this
+// VM wasn't registered. VMs check at different times, so that their calls don't reach the store all at once.
 func (exchange *Exchange) Reenter(ctx context.Context) {
 	if !exchange.isEntered() {
 		return
 	}
 	backoff := wait.NewBackoff(exchange.settings.Register, exchange.settings.RegisterMax)
-	for again := wait.For(ctx, exchange.reenterIn()); again; again = backoff.Wait(ctx) {
+	for waited := wait.For(ctx, exchange.reenterIn()); waited; waited = backoff.Wait(ctx) {
 		err := exchange.enterAgain(ctx)
 		if err == nil {
 			return
 		}
-		exchange.logger.Warn("register not reached", "error", err)
+		exchange.logger.Warn("failed to check the registration after a restore; retrying with backoff", "error", err)
 	}
 }
 
-// reenterIn is when this VM looks whether the register still has it. The time is split among those through which all are
-// found, since moments drawn from the whole of it may fall together.
+// reregisterDelay returns the time until this VM checks whether the registry still lists it. ReregisterSpread is divided
+// into one slot for each bootstrap VM, since delays drawn from the whole of it could coincide.
 func (exchange *Exchange) reenterIn() time.Duration {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	parts := exchange.foundBy()
-	part := exchange.settings.Reenter / time.Duration(parts)
-	place := slices.Index(exchange.ordered(), exchange.self.VM) % parts
-	return time.Duration(place)*part + rand.N(part) //nolint:gosec // no secret
+	slots := exchange.foundBy()
+	slotTime := exchange.settings.Reenter / time.Duration(slots)
+	slot := slices.Index(exchange.ordered(), exchange.self.VM) % slots
+	return time.Duration(slot)*slotTime + rand.N(slotTime) //nolint:gosec // not security-sensitive
 }
 
-// enterAgain lists the VMs, and enters this one if it is not there.
+// registerIfMissing reads the registry, and registers this VM if it is not listed.
 func (exchange *Exchange) enterAgain(ctx context.Context) error {
 	members, err := exchange.list(ctx)
 	if err != nil || exchange.isEntered() {
 		return err
 	}
-	exchange.logger.Info("entered", "members", len(members))
+	exchange.logger.Info("registering this VM", "members", len(members))
 	return exchange.enterNow(ctx)
 }
--- a/internal/exchange/role.go
+++ b/internal/exchange/role.go
@@ -10,47 +10,48 @@
 
 var _ feed.Members = (*Exchange)(nil)
 
-// readerOrder names the order of VMs that read the store for others.
+// readerKey is the rendezvous key that ranks VMs as readers of the store.
 const readerOrder = "reader"
 
-// Role implements feed.Members: in each data centre with at least so many live VMs
-// the one with the greatest capacity reads the store, among equal ones the first
-// by rendezvous. A VM that does not know the others yet reads it itself.
-func (exchange *Exchange) Role(least int, avoid func(address string) bool) feed.Role {
+// Role implements feed.Members. In each data centre with at least minimum known VMs, the live VM with the greatest link
+// capacity reads the store for the others; rendezvous hashing breaks ties. VMs for whose address avoid returns true, and
+// VMs that the store doesn't answer, are passed over. Until this VM has joined the fleet, the role is unsettled.
+func (exchange *Exchange) Role(minimum int, avoid func(address string) bool) feed.Role {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	if !exchange.met {
 		return feed.Role{Unsettled: true}
 	}
-	neighbours := exchange.neighbourhood()
-	if 1+len(neighbours) < least {
+	candidates := exchange.neighbourhood()
+	if 1+len(candidates) < minimum {
 		return feed.Role{}
 	}
-	best := exchange.self.VM
-	unheard := false
-	var blind []string
-	for _, peer := range neighbours {
-		unheard = unheard || (peer.heard.IsZero() && peer.Capacity >= exchange.self.Capacity)
+	reader := exchange.self.VM
+	unseen := false
+	var storeUnavailable []string
+	for _, peer := range candidates {
+		unseen = unseen || (peer.heard.IsZero() && peer.Capacity >= exchange.self.Capacity)
 		switch {
 		case !exchange.live(peer):
 		case peer.blind && exchange.readsBefore(peer.VM, exchange.self.VM):
-			blind = append(blind, peer.VM)
-		case !peer.blind && !avoid(peer.Address) && exchange.readsBefore(peer.VM, best):
-			best = peer.VM
+			storeUnavailable = append(storeUnavailable, peer.VM)
+		case !peer.blind && !avoid(peer.Address) && exchange.readsBefore(peer.VM, reader):
+			reader = peer.VM
 		}
 	}
-	if best != exchange.self.VM {
-		return feed.Role{Ask: exchange.peers[best].Address}
+	if reader != exchange.self.VM {
+		return feed.Role{Ask: exchange.peers[reader].Address}
 	}
-	role := feed.Role{Serves: true, Unsettled: unheard}
-	for _, vm := range blind {
+	role := feed.Role{Serves: true, Unsettled: unseen}
+	for _, vm := range storeUnavailable {
 		role.Before = append(role.Before, exchange.peers[vm].Address)
 	}
 	return role
 }
 
-// Others implements feed.Members.
-func (exchange *Exchange) Others(most int) ([]string, bool) {
+// Others implements feed.Members. It returns the addresses of at limit limit live VMs, those with the longest uptime
+// first, and reports false while this VM has not joined or all of its peers are down.
+func (exchange *Exchange) Others(limit int) ([]string, bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	var live []*peer
@@ -62,20 +63,19 @@
 	slices.SortFunc(live, func(a, b *peer) int {
 		return cmp.Or(a.started.Compare(b.started), cmp.Compare(a.VM, b.VM))
 	})
-	addresses := make([]string, 0, most)
-	for _, peer := range live[:min(most, len(live))] {
+	addresses := make([]string, 0, limit)
+	for _, peer := range live[:min(limit, len(live))] {
 		addresses = append(addresses, peer.Address)
 	}
 	return addresses, exchange.met && (len(live) > 0 || len(exchange.peers) == 0)
 }
 
-// readsBefore reports whether a VM reads the store for others rather than another one.
+// precedesAsReader reports whether vm is preferred to other as reader of the store.
 func (exchange *Exchange) readsBefore(vm, other string) bool {
 	return exchange.compareReaders(vm, other) < 0
 }
 
-// compareReaders orders VMs by who reads the store: the greatest capacity first, then by
-// rendezvous.
+// compareReaders orders VMs by preference as reader of the store: by descending link capacity, then by rendezvous hashing.
 func (exchange *Exchange) compareReaders(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(exchange.capacity(b), exchange.capacity(a)),
@@ -83,15 +83,15 @@
 	)
 }
 
-// neighbourhood returns the other VMs of this data centre that are known, in the order in which they read the store. Most of
-// them are not heard, since VMs tell those that decide.
+// localPeers returns the known peers of this data centre in order of preference as reader. Most of them send this VM no
+// datagrams, since VMs send reports and heartbeats to coordinators and reader candidates only.
 func (exchange *Exchange) neighbourhood() []*peer {
 	exchange.arrange()
-	var neighbours []*peer
+	var candidates []*peer
 	for _, vm := range exchange.byReader[exchange.self.DataCentre] {
 		if vm != exchange.self.VM {
-			neighbours = append(neighbours, exchange.peers[vm])
+			candidates = append(candidates, exchange.peers[vm])
 		}
 	}
-	return neighbours
+	return candidates
 }
--- a/internal/exchange/seeds.go
+++ b/internal/exchange/seeds.go
@@ -12,20 +12,20 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// seedsPause is the time after which VMs that the settings name are first greeted again.
+// initialHelloBackoff is the backoff after the first hello to the seeds.
 const seedsPause = 50 * time.Millisecond
 
-// maxIntroduced bounds the VMs that one datagram introduces, which take about 60 bytes each.
+// maxIntroduced is the maximum number of VMs introduced in one datagram. Each takes about 60 bytes.
 const maxIntroduced = 18
 
-// addressesOf returns the addresses of the VMs that the settings name, this one left out.
+// parseSeeds returns the addresses of the seeds, which the settings name. It leaves out this VM and invalid addresses.
 func addressesOf(seeds []string, self Member, logger *slog.Logger) []net.Addr {
 	var addresses []net.Addr
 	for _, seed := range seeds {
 		parsed, err := netip.ParseAddrPort(seed)
 		switch {
 		case err != nil:
-			logger.Error("address of a VM not understood", "address", seed, "error", err)
+			logger.Error("invalid seed address; ignoring it", "address", seed, "error", err)
 		case seed != self.Address:
 			addresses = append(addresses, net.UDPAddrFromAddrPort(parsed))
 		}
@@ -33,35 +33,36 @@
 	return addresses
 }
 
-// askSeeds greets the VMs that the settings name, and reports whether this one then knows whom to ask. They need the
-// store for nothing, and all VMs of a system may start at once.
+// contactSeeds says hello to the seeds until this VM has joined the fleet or the timeout has passed, and reports whether
+// it has joined. Discovery through seeds doesn't use the store, so all VMs of a fleet can start at once.
 func (exchange *Exchange) askSeeds(ctx context.Context) bool {
 	if len(exchange.seeds) == 0 {
 		return false
 	}
-	most := exchange.settings.Seeds
+	timeout := exchange.settings.Seeds
 	if exchange.self.First {
-		most = exchange.settings.SeedsFirst
+		timeout = exchange.settings.SeedsFirst
 	}
-	asking, stop := context.WithTimeout(ctx, most)
-	defer stop()
+	bounded, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
 	go func() {
 		select {
 		case <-exchange.metNow:
-			stop()
-		case <-asking.Done():
+			cancel()
+		case <-bounded.Done():
 		}
 	}()
 	backoff := wait.NewBackoff(seedsPause, exchange.settings.Repeat)
-	for asking.Err() == nil {
+	for bounded.Err() == nil {
 		exchange.send(slices.Concat(exchange.seeds, exchange.deciding()), nil, true)
-		backoff.Wait(asking)
+		backoff.Wait(bounded)
 	}
 	return exchange.isMet()
 }
 
-// gatheredIn is in how long all VMs that start for the first time together know each other. Before, who is asked names few
-// of them, and each that takes them for all would read the store itself.
+// bootstrapRemaining returns how much of BootstrapTime is left, zero or less when it is over or the fleet doesn't start
+// for the first time. Until then a peer's answer names few VMs, and a VM that took these for the whole fleet would read
+// the store itself.
 func (exchange *Exchange) gatheredIn() time.Duration {
 	if !exchange.self.First {
 		return 0
@@ -75,7 +76,7 @@
 	return exchange.met
 }
 
-// noteMet notes that this VM knows whom to ask.
+// markJoined records that this VM has joined the fleet, so that it can find the coordinators.
 func (exchange *Exchange) noteMet() {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -85,16 +86,18 @@
 	}
 }
 
-// noteIntroduced notes that this VM knows whom to ask once one that decides has told it.
+// joinIfIntroduced marks this VM as joined if the datagram holds the introductions of a coordinator, which names itself
+// among the coordinators, and BootstrapTime is over.
 func (exchange *Exchange) noteIntroduced(update *wire.LoadUpdate) {
-	decides := func(peer *wire.Peer) bool { return peer.GetVm() == update.GetVm() }
-	if len(update.GetIntroduced()) > 0 && slices.ContainsFunc(update.GetPeers(), decides) && exchange.gatheredIn() <= 0 {
+	isSender := func(peer *wire.Peer) bool { return peer.GetVm() == update.GetVm() }
+	if len(update.GetIntroduced()) > 0 && slices.ContainsFunc(update.GetPeers(), isSender) && exchange.gatheredIn() <= 0 {
 		exchange.noteMet()
 	}
 }
 
-// introduced returns the VMs that one of a data centre should know, so that all find the same ones when those that decide
-// are lost: the first live ones of each data centre, and more of its own, which may read the store for it.
+// introductions returns the VMs that a VM of the given data centre must know, so that all VMs find the same coordinators
+// when the current ones fail: the first live VMs of each data centre, and more of its own data centre, which may read the
+// store for it.
 func (exchange *Exchange) introduced(dataCentre string) []*wire.Peer {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -110,10 +113,11 @@
 	return exchange.encodePeers(vms[:min(maxIntroduced, len(vms))])
 }
 
-func (exchange *Exchange) firstLive(group []string, most int) []string {
+// firstLive returns at most limit live VMs from the start of group.
+func (exchange *Exchange) firstLive(group []string, limit int) []string {
 	var first []string
 	for _, vm := range group {
-		if len(first) == most {
+		if len(first) == limit {
 			break
 		}
 		if exchange.isLive(vm) {
@@ -123,19 +127,20 @@
 	return first
 }
 
-// neighbours returns those VMs that are of this one's data centre.
+// inOwnDataCentre returns those of peers that are in this VM's data centre, without this VM.
 func (exchange *Exchange) neighbours(peers []*wire.Peer) []*wire.Peer {
-	others := func(peer *wire.Peer) bool {
+	excluded := func(peer *wire.Peer) bool {
 		return peer.GetDataCentre() != exchange.self.DataCentre || peer.GetVm() == exchange.self.VM
 	}
-	return slices.DeleteFunc(slices.Clone(peers), others)
+	return slices.DeleteFunc(slices.Clone(peers), excluded)
 }
 
-// refresh asks one of those that decide at intervals who is to be known, more often at first: others start too.
+// refreshIntroductions says hello to one coordinator at intervals, so that it answers with current introductions. The
+// intervals are short at first, since other VMs may be starting too.
 func (exchange *Exchange) refresh(ctx context.Context) {
 	backoff := wait.NewBackoff(exchange.settings.Repeat, 2*exchange.settings.Refresh)
 	for backoff.Wait(ctx) {
-		deciding := exchange.deciding()
-		exchange.send(deciding[:min(1, len(deciding))], nil, true)
+		coordinatorAddresses := exchange.deciding()
+		exchange.send(coordinatorAddresses[:min(1, len(coordinatorAddresses))], nil, true)
 	}
 }
--- a/internal/exchange/send.go
+++ b/internal/exchange/send.go
@@ -12,7 +12,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// send sends reports, in as many datagrams as they take.
+// send sends reports to addresses, in as many datagrams as they need, and at least one. With hello, the datagrams request
+// an answer with introductions, and state the data centre and link capacity of this VM.
 func (exchange *Exchange) send(addresses []net.Addr, reports []pool.Report, hello bool) {
 	if len(addresses) == 0 {
 		return
@@ -21,32 +22,32 @@
 		update.Hello = hello
 		if hello {
 			update.DataCentre = exchange.self.DataCentre
-			update.Capacity = uint32(exchange.self.Capacity) //nolint:gosec // a link's
+			update.Capacity = uint32(exchange.self.Capacity) //nolint:gosec // link capacity in Mbit/s
 		}
 		exchange.sendTo(addresses, update)
 	}
 }
 
-// sendTo sends one datagram to addresses.
+// sendTo sends one datagram to each of addresses.
 func (exchange *Exchange) sendTo(addresses []net.Addr, update *wire.LoadUpdate) {
 	data, err := proto.Marshal(update)
 	if err != nil {
-		exchange.logger.Error("datagram not made", "error", err)
+		exchange.logger.Error("failed to encode a datagram", "error", err)
 		return
 	}
 	for _, address := range addresses {
-		// A datagram that cannot be sent is as good as lost.
+		// A datagram that cannot be sent is handled like a lost one: heartbeats make up for it.
 		if _, err := exchange.conn.WriteTo(data, address); err != nil {
-			exchange.logger.Debug("datagram not sent", "address", address.String(), "error", err)
+			exchange.logger.Debug("failed to send a datagram", "address", address.String(), "error", err)
 		}
 	}
 }
 
-// sendAll tells of all that is under way and of what is kept from servers, and asks whether it is
-// heard.
+// sendState sends a heartbeat: all reports and a selection of the quarantine entries of this VM. The first datagram
+// requests an answer.
 func (exchange *Exchange) sendAll(addresses []net.Addr, reports []pool.Report, entries []quarantine.Entry) {
-	for number, update := range exchange.updates(reports) {
-		update.Ping = number == 0
+	for index, update := range exchange.updates(reports) {
+		update.Ping = index == 0
 		if update.GetPing() {
 			update.Quarantined = encodeQuarantined(entries, exchange.now())
 		}
@@ -54,7 +55,7 @@
 	}
 }
 
-// updates returns as many datagrams as reports take, and one where there are none.
+// updates returns as many datagrams as reports need, and one without reports if there are none.
 func (exchange *Exchange) updates(reports []pool.Report) []*wire.LoadUpdate {
 	var updates []*wire.LoadUpdate
 	for chunk := range slices.Chunk(reports, maxSendings) {
@@ -68,46 +69,46 @@
 	return updates
 }
 
-// Ask asks another VM for servers.
+// Ask sends a request for servers to another VM, a coordinator. It sends nothing if the VM is unknown.
 func (exchange *Exchange) Ask(vm string, ask dispatch.Ask) {
 	update := exchange.update()
 	update.Asks = []*wire.Ask{encodeAsk(ask)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
-// Answer tells another VM what was decided for its request.
+// Answer sends the decision on a request to the VM that the request came from. It sends nothing if the VM is unknown.
 func (exchange *Exchange) Answer(vm string, answer dispatch.Answer) {
 	update := exchange.update()
 	update.Verdicts = []*wire.Verdict{encodeAnswer(answer)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
-// pong tells a VM that it is heard, who decides, and what is kept from servers: so all VMs learn that
-// from those that judge within one Repeat, and again after a loss. One that said hello is told too who else is to be known.
-func (exchange *Exchange) pong(asked *wire.LoadUpdate, address net.Addr, sink Sink) {
+// pong answers a datagram with the coordinators and the quarantine entries. All VMs thus receive these from the
+// coordinators within one HeartbeatInterval, and again after a loss. The answer to a hello includes introductions.
+func (exchange *Exchange) pong(received *wire.LoadUpdate, address net.Addr, sink Sink) {
 	update := exchange.update()
 	update.UpMs = uint32(exchange.now().Sub(exchange.started).Milliseconds()) //nolint:gosec // weeks at most
 	update.Blind = sink.Blind()
 	update.Quarantined = encodeQuarantined(sink.Quarantined(), exchange.now())
 	update.Peers, update.Known, update.Heard = exchange.deciders()
-	if asked.GetHello() {
-		update.Introduced = exchange.introduced(asked.GetDataCentre())
+	if received.GetHello() {
+		update.Introduced = exchange.introduced(received.GetDataCentre())
 	}
 	exchange.sendTo([]net.Addr{address}, update)
 }
 
-// update returns a datagram that says who sends it.
+// update returns a datagram with the name, address and store epoch of this VM.
 func (exchange *Exchange) update() *wire.LoadUpdate {
 	current, _ := exchange.epochs.Current()
 	return &wire.LoadUpdate{Vm: exchange.self.VM, Address: exchange.self.Address, Epoch: int64(current)}
 }
 
-// addressOf returns the address of a VM, or none.
+// addressOf returns the address of a VM, or nil if it is unknown.
 func (exchange *Exchange) addressOf(vm string) []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	if known := exchange.peers[vm]; known != nil {
-		return []net.Addr{known.address}
+	if peer := exchange.peers[vm]; peer != nil {
+		return []net.Addr{peer.address}
 	}
 	return nil
 }
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Settings tune the exchange.
+// Settings configures an Exchange.
 type Settings struct {
-	// Gather is how long changes are gathered into one datagram.
+	// BatchDelay is how long changes are collected before they are sent together.
 	Gather time.Duration `yaml:"gather" validate:"min=0,max=1s"`
-	// Repeat is the time between telling of all that is under way.
+	// HeartbeatInterval is the time between heartbeats, which carry all of a VM's reports.
 	Repeat time.Duration `yaml:"repeat" validate:"min=10ms"`
-	// Silence is after how long without a datagram a VM counts as away.
+	// PeerTimeout is the time without a datagram after which a VM counts as down.
 	Silence time.Duration `yaml:"silence" validate:"min=10ms"`
-	// Patience is how long the register may take to answer.
+	// RegistryTimeout is the timeout of a call to the registry.
 	Patience time.Duration `yaml:"patience" validate:"min=10ms"`
-	// Register is the time after the first failure to reach the register, which doubles up to RegisterMax.
+	// Register is the backoff after the first failed call to the registry. It doubles with each failure up to RegisterMax.
 	Register    time.Duration `yaml:"register" validate:"min=10ms"`
 	RegisterMax time.Duration `yaml:"register_max" validate:"min=10ms,gtefield=Register"`
-	// Seeds is how long the VMs that the settings name may take to answer before the register is read, and SeedsFirst the
-	// same where all VMs start for the first time, so that the register is empty.
+	// SeedTimeout is how long a starting VM waits for an answer of a seed before it reads the registry. FirstSeedTimeout
+	// replaces it when the whole fleet starts for the first time, since the registry is empty then.
 	Seeds      time.Duration `yaml:"seeds" validate:"min=0"`
 	SeedsFirst time.Duration `yaml:"seeds_first" validate:"min=0"`
-	// Gathering is how long after its first start a system has not yet gathered: who is asked then knows few of the others.
+	// BootstrapTime is how long after the first start of the fleet a VM may still be unknown to others. What a peer answers
+	// before that names few VMs and doesn't count as complete.
 	Gathering time.Duration `yaml:"gathering" validate:"min=0"`
-	// Enter is the time between looks whether this VM belongs in the register.
+	// RegistrationInterval is the initial time between checks whether this VM must be in the registry.
 	Enter time.Duration `yaml:"enter" validate:"min=10ms"`
-	// Introduce is how many VMs of each data centre are made known to all.
+	// IntroducedPerDataCentre is how many live VMs of each data centre are introduced to a VM that says hello.
 	Introduce int `yaml:"introduce" validate:"min=1"`
-	// Refresh is the time between questions who is to be known.
+	// RefreshInterval is the time between the hellos that fetch current introductions from a coordinator.
 	Refresh time.Duration `yaml:"refresh" validate:"min=10ms"`
-	// Reenter is the time over which all VMs look whether the register still has them, after it came back older.
+	// ReregisterSpread is the time over which the VMs spread their checks that the registry still lists them, after it was
+	// restored from an older copy.
 	Reenter time.Duration `yaml:"reenter" validate:"min=10ms"`
-	// Coordinators is how many VMs are told of all that is under way, so that one
-	// decides and the others can go on for it.
+	// Coordinators is how many VMs receive the reports of all VMs. One of them assigns the requests, and the others can
+	// take over from it.
 	Coordinators int `yaml:"coordinators" validate:"min=1"`
-	// Warm is for how long a VM must have been told before it decides while another
-	// one can: what is under way is told again once in Repeat.
+	// CoordinatorWarmUp is how long a coordinator must have received reports before it is preferred. All reports are
+	// repeated once per HeartbeatInterval, so a coordinator that has just started has an incomplete view.
 	Warm time.Duration `yaml:"warm" validate:"min=0"`
-	// Readers is how many VMs of its own data centre that the store answers a VM keeps
-	// in touch with, so that it knows who reads the store there.
+	// Readers is how many reader candidates of its own data centre a VM sends heartbeats to, counting only those that the
+	// store answers. They determine which VM reads the store for the data centre.
 	Readers int `yaml:"readers" validate:"min=1"`
-	// Greet is how many of the VMs that are away, and would decide or read the store if
-	// they were not, are greeted in each Repeat: so many of each data centre, and of the
-	// rest. Each that answers tells who decides.
+	// HelloCount limits the heartbeats to VMs that are down but would be coordinators or readers if they were live: in each
+	// HeartbeatInterval, up to this many of each data centre and as many of the rest. An answer names the coordinators.
 	Greet int `yaml:"greet" validate:"min=0"`
 }
 
-// DefaultSettings returns settings for today's six to eight VMs.
+// DefaultSettings returns settings for a fleet of six to eight VMs.
 func DefaultSettings() Settings {
 	return Settings{
 		Gather:       time.Millisecond,
