--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -22,19 +22,19 @@
 	// may be among them.
 	Coordinators() []string
 	// ReportUnresponsive records that a VM did not respond.
-	Doubt(vm string)
-	// Ask sends a request for servers to a VM.
-	Ask(vm string, request dispatch.Ask)
-	// Answer sends a response to a VM.
-	Answer(vm string, response dispatch.Answer)
+	ReportUnresponsive(vm string)
+	// SendRequest sends a request for servers to a VM.
+	SendRequest(vm string, request dispatch.AssignmentRequest)
+	// SendResponse sends a response to a VM.
+	SendResponse(vm string, response dispatch.AssignmentResponse)
 }
 
 // Servers gives access to the state of the backend servers as known to this VM. It is safe for
 // concurrent use. Methods without a comment work like those of dispatch.Servers.
 type Servers interface {
-	Open(service *catalog.Service, tried []string) []placement.Server
-	Resting(vm string) []string
-	TakesPerSecond(service string, allowedDataCentres []string, vm string) (float64, bool)
+	Available(service *catalog.Service, tried []string) []placement.Server
+	BackedOff(vm string) []string
+	RateLimit(service string, allowedDataCentres []string, vm string) (float64, bool)
 	AllEvacuated(service string, allowedDataCentres []string) bool
 	// Assign records that the servers of a plan are assigned to a request of a VM.
 	Assign(vm string, id uint64, plan placement.Plan, request placement.Request)
@@ -45,7 +45,7 @@
 }
 
 // RetryBudget limits retries over all VMs that use this coordinator.
-type Retries interface {
+type RetryBudget interface {
 	// Earn adds what one request to a service earns.
 	Earn(service string)
 	// Spend takes one retry from the budget of a service. It reports false if none is left.
@@ -58,63 +58,63 @@
 // Coordinator requests servers for the client requests of its VM, and assigns servers to requests
 // of all VMs while this VM is the coordinator. It is safe for concurrent use.
 type Coordinator struct {
-	settings Settings
-	vm       string
-	servers  Servers
-	services Services
-	retries  Retries
-	network  Network
-	now      func() time.Time
+	settings    Settings
+	vm          string
+	servers     Servers
+	services    Services
+	retryBudget RetryBudget
+	network     Network
+	now         func() time.Time
 
 	// decideMu guards queue, lastRequested and decision.
-	deciding sync.Mutex
+	decideMu sync.Mutex
 	queue    *dispatch.Queue
-	// renewed has the time of the last message for each queued request.
-	renewed map[dispatch.Key]time.Time
+	// lastRequested has the time of the last message for each queued request.
+	lastRequested map[dispatch.Key]time.Time
 	// decision has the recent decisions by key, so that they can be sent again when a response was
 	// lost.
-	given map[dispatch.Key]given
+	decision map[dispatch.Key]decision
 	// queued has an element after a request was queued.
-	wake chan struct{}
+	queued chan struct{}
 
 	// pendingMu guards pending and responseTime.
-	asking sync.Mutex
+	pendingMu sync.Mutex
 	// pending has the response channel of each request of this VM that is not decided yet, by ID.
-	open map[uint64]chan addressed
+	pending map[uint64]chan peerResponse
 	// responseTime is the moving average of response times.
-	took time.Duration
+	responseTime time.Duration
 }
 
 // decision is a response with the time at which it was decided.
-type given struct {
-	answer dispatch.Answer
-	at     time.Time
+type decision struct {
+	response dispatch.AssignmentResponse
+	at       time.Time
 }
 
 // peerResponse is a response with the VM that it comes from or goes to.
-type addressed struct {
-	dispatch.Answer
+type peerResponse struct {
+	dispatch.AssignmentResponse
 
 	vm string
 }
 
 // New returns the coordinator of the VM with the given name. The function now is its clock.
 func New(
-	settings Settings, vm string, policy placement.Policy, servers Servers, services Services, retryBudget Retries,
+	settings Settings, vm string, policy placement.Policy, servers Servers, services Services, retryBudget RetryBudget,
 	network Network, now func() time.Time,
 ) *Coordinator {
 	return &Coordinator{
-		settings: settings,
-		vm:       vm,
-		servers:  servers,
-		services: services,
-		retries:  retryBudget,
-		network:  network,
-		now:      now,
-		queue:    dispatch.New(policy),
-		renewed:  make(map[dispatch.Key]time.Time),
-		given:    make(map[dispatch.Key]given),
-		wake:     make(chan struct{}, 1),
-		open:     make(map[uint64]chan addressed),
+		settings:      settings,
+		vm:            vm,
+		servers:       servers,
+		services:      services,
+		retryBudget:   retryBudget,
+		network:       network,
+		now:           now,
+		queue:         dispatch.New(policy),
+		lastRequested: make(map[dispatch.Key]time.Time),
+		decision:      make(map[dispatch.Key]decision),
+		queued:        make(chan struct{}, 1),
+		pending:       make(map[uint64]chan peerResponse),
 	}
 }
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -12,115 +12,115 @@
 )
 
 // HandleRequests handles requests of a VM for servers, and responds to them.
-func (coordinator *Coordinator) Asked(vm string, assignmentRequests []dispatch.Ask) {
+func (coordinator *Coordinator) HandleRequests(vm string, assignmentRequests []dispatch.AssignmentRequest) {
 	for _, assignmentRequest := range assignmentRequests {
-		if assignmentRequest.Withdrawn {
-			coordinator.withdraw(dispatch.Key{VM: vm, ID: assignmentRequest.ID})
+		if assignmentRequest.Cancelled {
+			coordinator.handleCancellation(dispatch.Key{VM: vm, ID: assignmentRequest.ID})
 			continue
 		}
-		coordinator.answer(vm, coordinator.decide(vm, assignmentRequest))
+		coordinator.sendResponse(vm, coordinator.decide(vm, assignmentRequest))
 	}
 }
 
 // decide returns the response to a request: the earlier one if the request has been decided
 // already.
-func (coordinator *Coordinator) decide(vm string, assignmentRequest dispatch.Ask) dispatch.Answer {
-	coordinator.deciding.Lock()
-	defer coordinator.deciding.Unlock()
+func (coordinator *Coordinator) decide(vm string, assignmentRequest dispatch.AssignmentRequest) dispatch.AssignmentResponse {
+	coordinator.decideMu.Lock()
+	defer coordinator.decideMu.Unlock()
 	key := dispatch.Key{VM: vm, ID: assignmentRequest.ID}
 	now := coordinator.now()
-	if decision, found := coordinator.given[key]; found {
-		return decision.answer
+	if decision, found := coordinator.decision[key]; found {
+		return decision.response
 	}
 	service, found := coordinator.services(assignmentRequest.Service)
 	if !found {
-		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionUnknown}
+		return dispatch.AssignmentResponse{ID: assignmentRequest.ID, Decision: dispatch.DecisionUnknownService}
 	}
 	request := &dispatch.Request{
-		Key: key, Service: assignmentRequest.Service, Tried: assignmentRequest.Tried, KeptTo: assignmentRequest.KeptTo,
-		Due: now.Add(assignmentRequest.Due), Leaves: now.Add(assignmentRequest.Stays),
+		Key: key, Service: assignmentRequest.Service, Tried: assignmentRequest.Tried, AllowedDataCentres: assignmentRequest.AllowedDataCentres,
+		ObjectiveDeadline: now.Add(assignmentRequest.TimeToObjective), CallerDeadline: now.Add(assignmentRequest.TimeToCallerDeadline),
 		Placement: placement.Request{
 			DataCentre: assignmentRequest.DataCentre, Engine: service.Engine, Tokens: assignmentRequest.Tokens, Memory: assignmentRequest.Memory,
-			Gap: assignmentRequest.Gap, ShortestGap: service.ShortestGap, Objective: assignmentRequest.Objective,
+			InterTokenObjective: assignmentRequest.InterTokenObjective, ShortestInterTokenObjective: service.ShortestGap, Objective: assignmentRequest.Objective,
 			// A fixed seed per VM selects the same servers among equal ones, so that fewer new
 			// connections are opened.
 			Seed: xxhash.Sum64String(vm),
 		},
 	}
-	request.Tight = service.Engine == nil || request.Placement.Tight()
+	request.Packable = service.Engine == nil || request.Placement.Packable()
 	if service.Engine != nil {
-		request.Work = service.Engine.ReadTime(assignmentRequest.Tokens)
-		request.Least = request.Placement.Least()
+		request.Prefill = service.Engine.ReadTime(assignmentRequest.Tokens)
+		request.MinTTFT = request.Placement.MinTTFT()
 	}
-	_, found = coordinator.renewed[key]
-	coordinator.renewed[key] = now
-	if !found && !coordinator.grants(assignmentRequest) {
-		return coordinator.refuse(dispatch.Refusal{Key: key}, now)
+	_, found = coordinator.lastRequested[key]
+	coordinator.lastRequested[key] = now
+	if !found && !coordinator.allowAttempt(assignmentRequest) {
+		return coordinator.recordRefusal(dispatch.Refusal{Key: key}, now)
 	}
 	if queued := coordinator.queue.Find(key); queued != nil {
 		*queued = *request
-		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionHeld}
+		return dispatch.AssignmentResponse{ID: assignmentRequest.ID, Decision: dispatch.DecisionQueued}
 	}
 	assignment, placed := coordinator.queue.Offer(request, (*adapter)(coordinator), now)
 	if !placed {
-		coordinator.awake()
-		return dispatch.Answer{ID: assignmentRequest.ID, Decision: dispatch.DecisionHeld}
+		coordinator.signalQueued()
+		return dispatch.AssignmentResponse{ID: assignmentRequest.ID, Decision: dispatch.DecisionQueued}
 	}
-	return coordinator.give(assignment, now)
+	return coordinator.recordAssignment(assignment, now)
 }
 
 // allowAttempt reports whether a client request may go to servers: the first attempt always may,
 // further ones are subject to the retry budget. The budget is kept here for all VMs, since with
 // many VMs the share of each one is less than one retry.
-func (coordinator *Coordinator) grants(assignmentRequest dispatch.Ask) bool {
-	if assignmentRequest.Again {
-		return coordinator.retries.Spend(assignmentRequest.Service)
+func (coordinator *Coordinator) allowAttempt(assignmentRequest dispatch.AssignmentRequest) bool {
+	if assignmentRequest.Retry {
+		return coordinator.retryBudget.Spend(assignmentRequest.Service)
 	}
 	if !assignmentRequest.Counted {
-		coordinator.retries.Earn(assignmentRequest.Service)
+		coordinator.retryBudget.Earn(assignmentRequest.Service)
 	}
 	return true
 }
 
 // recordAssignment records an assignment, and returns the response for it.
-func (coordinator *Coordinator) give(assignment dispatch.Verdict, now time.Time) dispatch.Answer {
-	response := assignment.Placed()
-	delete(coordinator.renewed, assignment.Key)
-	coordinator.given[assignment.Key] = given{answer: response, at: now}
+func (coordinator *Coordinator) recordAssignment(assignment dispatch.Assignment, now time.Time) dispatch.AssignmentResponse {
+	response := assignment.Response()
+	delete(coordinator.lastRequested, assignment.Key)
+	coordinator.decision[assignment.Key] = decision{response: response, at: now}
 	return response
 }
 
 // recordRefusal records a refusal, and returns the response for it.
-func (coordinator *Coordinator) refuse(refusal dispatch.Refusal, now time.Time) dispatch.Answer {
-	response := dispatch.Answer{ID: refusal.ID, Decision: dispatch.DecisionRefused, Return: refusal.Return}
-	delete(coordinator.renewed, refusal.Key)
-	coordinator.given[refusal.Key] = given{answer: response, at: now}
+func (coordinator *Coordinator) recordRefusal(refusal dispatch.Refusal, now time.Time) dispatch.AssignmentResponse {
+	response := dispatch.AssignmentResponse{ID: refusal.ID, Decision: dispatch.DecisionRefused, RetryAfter: refusal.RetryAfter}
+	delete(coordinator.lastRequested, refusal.Key)
+	coordinator.decision[refusal.Key] = decision{response: response, at: now}
 	return response
 }
 
 // sendResponse sends a response to the VM that sent the request.
-func (coordinator *Coordinator) answer(vm string, response dispatch.Answer) {
+func (coordinator *Coordinator) sendResponse(vm string, response dispatch.AssignmentResponse) {
 	if vm == coordinator.vm {
-		coordinator.Answered(vm, []dispatch.Answer{response})
+		coordinator.HandleResponses(vm, []dispatch.AssignmentResponse{response})
 		return
 	}
-	coordinator.network.Answer(vm, response)
+	coordinator.network.SendResponse(vm, response)
 }
 
-func (coordinator *Coordinator) withdraw(key dispatch.Key) {
-	coordinator.deciding.Lock()
-	defer coordinator.deciding.Unlock()
+func (coordinator *Coordinator) handleCancellation(key dispatch.Key) {
+	coordinator.decideMu.Lock()
+	defer coordinator.decideMu.Unlock()
 	coordinator.queue.Remove(key)
-	delete(coordinator.renewed, key)
-	if _, decided := coordinator.given[key]; decided {
-		delete(coordinator.given, key)
+	delete(coordinator.lastRequested, key)
+	if _, decided := coordinator.decision[key]; decided {
+		delete(coordinator.decision, key)
 		coordinator.servers.Withdraw(key.VM, key.ID)
 	}
 }
 
-func (coordinator *Coordinator) awake() {
+func (coordinator *Coordinator) signalQueued() {
 	select {
-	case coordinator.wake <- struct{}{}:
+	case coordinator.queued <- struct{}{}:
 	default:
 	}
 }
@@ -130,20 +130,20 @@
 	for ctx.Err() == nil {
 		changed := coordinator.servers.Changed()
 		started := coordinator.now()
-		waiting := coordinator.pass(started)
+		waiting := coordinator.dispatchQueued(started)
 		pause := time.Duration(coordinator.settings.RestTimes * float64(coordinator.now().Sub(started)))
 		if !wait.For(ctx, max(coordinator.settings.Pause, pause)) {
 			return
 		}
-		coordinator.sleep(ctx, changed, waiting)
+		coordinator.waitForChange(ctx, changed, waiting)
 	}
 }
 
 // waitForChange waits until there may be a decision to make.
-func (coordinator *Coordinator) sleep(ctx context.Context, changed <-chan struct{}, waiting bool) {
+func (coordinator *Coordinator) waitForChange(ctx context.Context, changed <-chan struct{}, waiting bool) {
 	if !waiting {
 		select {
-		case <-coordinator.wake:
+		case <-coordinator.queued:
 		case <-time.After(coordinator.settings.Remember):
 		case <-ctx.Done():
 		}
@@ -160,46 +160,46 @@
 
 // dispatchQueued decides what it can for the queued requests, sends the responses, and reports
 // whether requests are still queued.
-func (coordinator *Coordinator) pass(now time.Time) bool {
-	responses, waiting := coordinator.decideWaiting(now)
+func (coordinator *Coordinator) dispatchQueued(now time.Time) bool {
+	responses, waiting := coordinator.decideQueued(now)
 	for _, response := range responses {
-		coordinator.answer(response.vm, response.Answer)
+		coordinator.sendResponse(response.vm, response.AssignmentResponse)
 	}
 	return waiting
 }
 
 // decideQueued returns the responses to queued requests that are decided now, and whether requests
 // are still queued.
-func (coordinator *Coordinator) decideWaiting(now time.Time) ([]addressed, bool) {
-	coordinator.deciding.Lock()
-	defer coordinator.deciding.Unlock()
-	coordinator.lapse(now)
+func (coordinator *Coordinator) decideQueued(now time.Time) ([]peerResponse, bool) {
+	coordinator.decideMu.Lock()
+	defer coordinator.decideMu.Unlock()
+	coordinator.expire(now)
 	if coordinator.queue.Len() == 0 {
 		return nil, false
 	}
-	var responses []addressed
-	assignments, refused := coordinator.queue.Pass((*adapter)(coordinator), now)
+	var responses []peerResponse
+	assignments, refused := coordinator.queue.Dispatch((*adapter)(coordinator), now)
 	for _, assignment := range assignments {
-		responses = append(responses, addressed{Answer: coordinator.give(assignment, now), vm: assignment.VM})
+		responses = append(responses, peerResponse{AssignmentResponse: coordinator.recordAssignment(assignment, now), vm: assignment.VM})
 	}
 	for _, refusal := range refused {
-		responses = append(responses, addressed{Answer: coordinator.refuse(refusal, now), vm: refusal.VM})
+		responses = append(responses, peerResponse{AssignmentResponse: coordinator.recordRefusal(refusal, now), vm: refusal.VM})
 	}
 	return responses, coordinator.queue.Len() > 0
 }
 
 // expire drops queued requests whose VMs have sent no message for a while, and old decisions.
-func (coordinator *Coordinator) lapse(now time.Time) {
+func (coordinator *Coordinator) expire(now time.Time) {
 	coordinator.queue.DropWhere(func(request *dispatch.Request) bool {
-		if now.Sub(coordinator.renewed[request.Key]) <= coordinator.settings.Lapse {
+		if now.Sub(coordinator.lastRequested[request.Key]) <= coordinator.settings.Lapse {
 			return false
 		}
-		delete(coordinator.renewed, request.Key)
+		delete(coordinator.lastRequested, request.Key)
 		return true
 	})
-	for key, decision := range coordinator.given {
+	for key, decision := range coordinator.decision {
 		if now.Sub(decision.at) > coordinator.settings.Remember {
-			delete(coordinator.given, key)
+			delete(coordinator.decision, key)
 		}
 	}
 }
@@ -209,31 +209,31 @@
 
 var _ dispatch.Servers = (*adapter)(nil)
 
-// Open implements dispatch.Servers.
-func (adapter *adapter) Open(service string) []placement.Server {
+// Available implements dispatch.Servers.
+func (adapter *adapter) Available(service string) []placement.Server {
 	catalogService, found := adapter.services(service)
 	if !found {
 		return nil
 	}
-	return adapter.servers.Open(catalogService, nil)
+	return adapter.servers.Available(catalogService, nil)
 }
 
-// Resting implements dispatch.Servers.
-func (adapter *adapter) Resting(vm string) []string {
-	return adapter.servers.Resting(vm)
+// BackedOff implements dispatch.Servers.
+func (adapter *adapter) BackedOff(vm string) []string {
+	return adapter.servers.BackedOff(vm)
 }
 
-// TakesPerSecond implements dispatch.Servers.
-func (adapter *adapter) TakesPerSecond(request *dispatch.Request) (float64, bool) {
-	return adapter.servers.TakesPerSecond(request.Service, request.KeptTo, request.VM)
+// RateLimit implements dispatch.Servers.
+func (adapter *adapter) RateLimit(request *dispatch.Request) (float64, bool) {
+	return adapter.servers.RateLimit(request.Service, request.AllowedDataCentres, request.VM)
 }
 
 // AllEvacuated implements dispatch.Servers.
 func (adapter *adapter) AllEvacuated(request *dispatch.Request) bool {
-	return adapter.servers.AllEvacuated(request.Service, request.KeptTo)
+	return adapter.servers.AllEvacuated(request.Service, request.AllowedDataCentres)
 }
 
-// Take implements dispatch.Servers.
-func (adapter *adapter) Take(request *dispatch.Request, plan placement.Plan) {
+// RecordAssignment implements dispatch.Servers.
+func (adapter *adapter) RecordAssignment(request *dispatch.Request, plan placement.Plan) {
 	adapter.servers.Assign(request.VM, request.ID, plan, request.Placement)
 }
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -43,12 +43,14 @@
 	return append(vm.pool.Own(), vm.pool.OwnLimits(vm.exchange.Judges())...)
 }
 
-// Asked implements exchange.Sink.
-func (vm *fleetVM) Asked(name string, requests []dispatch.Ask) { vm.coordinator.Asked(name, requests) }
+// HandleRequests implements exchange.Sink.
+func (vm *fleetVM) HandleRequests(name string, requests []dispatch.AssignmentRequest) {
+	vm.coordinator.HandleRequests(name, requests)
+}
 
-// Answered implements exchange.Sink.
-func (vm *fleetVM) Answered(name string, responses []dispatch.Answer) {
-	vm.coordinator.Answered(name, responses)
+// HandleResponses implements exchange.Sink.
+func (vm *fleetVM) HandleResponses(name string, responses []dispatch.AssignmentResponse) {
+	vm.coordinator.HandleResponses(name, responses)
 }
 
 // Quarantined implements exchange.Sink.
@@ -87,11 +89,11 @@
 	arrived := got.arrived
 	for ctx.Err() == nil {
 		id := vm.pool.ReserveID()
-		response, placed := vm.coordinator.Place(ctx, id, func() dispatch.Ask {
+		response, placed := vm.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest {
 			elapsed := time.Since(arrived)
-			return dispatch.Ask{
+			return dispatch.AssignmentRequest{
 				ID: id, Service: plainName, Objective: plainObjective,
-				Due: plainObjective - elapsed, Stays: plainDeadline - elapsed, DataCentre: "north",
+				TimeToObjective: plainObjective - elapsed, TimeToCallerDeadline: plainDeadline - elapsed, DataCentre: "north",
 			}
 		})
 		if placed && response.Decision == dispatch.DecisionRefused {
@@ -101,12 +103,12 @@
 		if placed {
 			servers, missing := vm.pool.Find(plainName, nil, response.Servers)
 			assert.Check(vm.fleet.t, len(missing) == 0)
-			if response.Limited {
+			if response.RateLimited {
 				vm.pool.WatchLimit(servers[0].ID)
 			}
 			return servers[0].ID, vm.pool.StartAs(id, placement.Plan{Server: servers[0]}, placement.Request{})
 		}
-		plan, found := vm.policy.Place(vm.pool.Open(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
+		plan, found := vm.policy.Place(vm.pool.Available(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
 		if found && ctx.Err() == nil {
 			if use, within := vm.pool.StartWithin(plan, placement.Request{}); within {
 				return plan.Server.ID, use
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/simulation_test.go
@@ -198,21 +198,21 @@
 	return names
 }
 
-// Doubt implements coordinator.Network.
-func (testvm *testVM) Doubt(name string) {
+// ReportUnresponsive implements coordinator.Network.
+func (testvm *testVM) ReportUnresponsive(name string) {
 	testvm.mu.Lock()
 	defer testvm.mu.Unlock()
 	testvm.unresponsive[name] = true
 }
 
-// Ask implements coordinator.Network.
-func (testvm *testVM) Ask(name string, request dispatch.Ask) {
-	testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.coordinator.Asked(testvm.name, []dispatch.Ask{request}) })
+// SendRequest implements coordinator.Network.
+func (testvm *testVM) SendRequest(name string, request dispatch.AssignmentRequest) {
+	testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.coordinator.HandleRequests(testvm.name, []dispatch.AssignmentRequest{request}) })
 }
 
-// Answer implements coordinator.Network.
-func (testvm *testVM) Answer(name string, response dispatch.Answer) {
-	testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.coordinator.Answered(testvm.name, []dispatch.Answer{response}) })
+// SendResponse implements coordinator.Network.
+func (testvm *testVM) SendResponse(name string, response dispatch.AssignmentResponse) {
+	testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.coordinator.HandleResponses(testvm.name, []dispatch.AssignmentResponse{response}) })
 }
 
 // kind has the properties of a kind of request.
@@ -250,11 +250,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	id := testvm.pool.ReserveID()
-	response, placed := testvm.coordinator.Place(ctx, id, func() dispatch.Ask {
+	response, placed := testvm.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest {
 		elapsed := time.Since(arrived)
-		return dispatch.Ask{
-			ID: id, Service: serviceName, Tokens: kind.tokens, Memory: kind.tokens + 500, Gap: kind.gap,
-			Objective: kind.objective, Due: kind.objective - elapsed, Stays: cmp.Or(kind.callerTimeout, 4*kind.objective) - elapsed,
+		return dispatch.AssignmentRequest{
+			ID: id, Service: serviceName, Tokens: kind.tokens, Memory: kind.tokens + 500, InterTokenObjective: kind.gap,
+			Objective: kind.objective, TimeToObjective: kind.objective - elapsed, TimeToCallerDeadline: cmp.Or(kind.callerTimeout, 4*kind.objective) - elapsed,
 		}
 	})
 	result.waited = time.Since(arrived)
@@ -263,13 +263,13 @@
 		return result
 	}
 	result.placed = true
-	result.expectedTTFT = result.waited + response.Predicted
+	result.expectedTTFT = result.waited + response.PredictedTTFT
 	result.servers = response.Servers
 	servers, _ := testvm.pool.Find(serviceName, nil, response.Servers)
 	use := testvm.pool.StartAs(id, placement.Plan{
-		Server: servers[0], Helpers: servers[1:], Part: response.Part, Shares: response.Shares, Tight: response.Tight,
-	}, placement.Request{Engine: testvm.simulation.service.Engine, Memory: kind.tokens + 500, Gap: kind.gap})
-	time.Sleep(response.Predicted)
+		Server: servers[0], Helpers: servers[1:], PrefillPerServer: response.PrefillPerServer, MemoryShares: response.MemoryShares, Packable: response.Packable,
+	}, placement.Request{Engine: testvm.simulation.service.Engine, Memory: kind.tokens + 500, InterTokenObjective: kind.gap})
+	time.Sleep(response.PredictedTTFT)
 	use.Read()
 	time.Sleep(kind.decodeTime)
 	use.Over()
--- a/internal/coordinator/unlimitedretries_test.go
+++ b/internal/coordinator/unlimitedretries_test.go
@@ -5,10 +5,10 @@
 // unlimitedRetries implements coordinator.RetryBudget without a limit.
 type unlimitedRetries struct{}
 
-var _ coordinator.Retries = unlimitedRetries{}
+var _ coordinator.RetryBudget = unlimitedRetries{}
 
-// Earn implements coordinator.Retries.
+// Earn implements coordinator.RetryBudget.
 func (unlimitedRetries) Earn(string) {}
 
-// Spend implements coordinator.Retries.
+// Spend implements coordinator.RetryBudget.
 func (unlimitedRetries) Spend(string) bool { return true }
--- a/internal/dispatch/assignmentrequest.go
+++ b/internal/dispatch/assignmentrequest.go
@@ -4,7 +4,7 @@
 
 // AssignmentRequest is sent by a VM to the coordinator to get backend servers assigned to one
 // client request. Durations count from the moment of sending, so that clocks of VMs need not agree.
-type Ask struct {
+type AssignmentRequest struct {
 	// ID is unique to the VM.
 	ID      uint64
 	Service string
@@ -14,25 +14,25 @@
 	Memory int
 	// InterTokenObjective is the longest pause between events of the answer that meets the
 	// objective.
-	Gap time.Duration
+	InterTokenObjective time.Duration
 	// Objective is the time within which the first event is due, from the arrival of the request.
 	Objective time.Duration
 	// TimeToObjective is the time left until the first event is due. It is negative when the
 	// objective has been missed.
-	Due time.Duration
+	TimeToObjective time.Duration
 	// TimeToCallerDeadline is how long the caller still waits for the request.
-	Stays      time.Duration
-	DataCentre string
+	TimeToCallerDeadline time.Duration
+	DataCentre           string
 	// Tried lists the IDs of the servers that failed the request.
 	Tried []string
 	// AllowedDataCentres restricts the assignment to servers in these data centres. Empty means
 	// any.
-	KeptTo []string
+	AllowedDataCentres []string
 	// Cancelled reports that the request no longer needs servers. All fields but ID are unset then.
-	Withdrawn bool
+	Cancelled bool
 	// Retry reports that the request may have reached servers before, so that sending it to others
 	// takes a retry from the retry budget.
-	Again bool
+	Retry bool
 	// Counted reports that an earlier message for the same request was sent, so that the request
 	// must not earn a retry a second time.
 	Counted bool
@@ -44,49 +44,49 @@
 // Decisions of the coordinator.
 const (
 	// DecisionQueued means that the request waits for servers.
-	DecisionHeld Decision = iota
+	DecisionQueued Decision = iota
 	// DecisionAssigned means that servers are assigned to the request.
-	DecisionPlaced
+	DecisionAssigned
 	// DecisionUnknownService means that the coordinator has no such service in its configuration.
-	DecisionUnknown
+	DecisionUnknownService
 	// DecisionRefused means that no assignment is expected before the caller's deadline.
 	DecisionRefused
 )
 
 // AssignmentResponse is the coordinator's response to an AssignmentRequest.
-type Answer struct {
+type AssignmentResponse struct {
 	// ID is the ID of the AssignmentRequest.
 	ID       uint64
 	Decision Decision
 	// Servers lists the IDs of the assigned servers. The first one decodes the answer.
 	Servers []string
 	// PrefillPerServer is the prefill time of each server.
-	Part time.Duration
+	PrefillPerServer time.Duration
 	// MemoryShares is the KV memory to reserve at each server, in tokens, in the order of Servers.
 	// It is nil when the first server's own memory is enough.
-	Shares []int
+	MemoryShares []int
 	// PredictedTTFT is the predicted time to first token, from now.
-	Predicted time.Duration
-	Tight     bool
+	PredictedTTFT time.Duration
+	Packable      bool
 	// RateLimited reports that the first server advertised a request rate limit. The VM must report
 	// an answer of that server that advertises none.
-	Limited bool
-	Reason  string
+	RateLimited bool
+	Reason      string
 	// RetryAfter is the delay after which the caller of a refused request may retry, or zero when
 	// it is unknown.
-	Return time.Duration
+	RetryAfter time.Duration
 }
 
 // Final reports whether the coordinator sends no further response for the request.
-func (response Answer) Final() bool {
-	return response.Decision == DecisionPlaced || response.Decision == DecisionRefused
+func (response AssignmentResponse) Final() bool {
+	return response.Decision == DecisionAssigned || response.Decision == DecisionRefused
 }
 
 // Response returns the response that carries the assignment to its VM.
-func (assignment Verdict) Placed() Answer {
+func (assignment Assignment) Response() AssignmentResponse {
 	plan := assignment.Plan
-	return Answer{
-		ID: assignment.ID, Decision: DecisionPlaced, Servers: plan.IDs(), Part: plan.Part, Shares: plan.Shares,
-		Predicted: plan.Predicted, Tight: plan.Tight, Limited: plan.Server.Limited, Reason: string(plan.Reason),
+	return AssignmentResponse{
+		ID: assignment.ID, Decision: DecisionAssigned, Servers: plan.IDs(), PrefillPerServer: plan.PrefillPerServer, MemoryShares: plan.MemoryShares,
+		PredictedTTFT: plan.PredictedTTFT, Packable: plan.Packable, RateLimited: plan.Server.RateLimited, Reason: string(plan.Reason),
 	}
 }
--- a/internal/dispatch/latethroughput.go
+++ b/internal/dispatch/latethroughput.go
@@ -8,7 +8,7 @@
 // lateWindow is how long late requests have to be queued before those that get no servers are
 // refused, and the window over which assignments of late requests are counted. In one second about
 // half of the slots of an engine are freed once. Callers wait at least twice as long.
-const watchTime = time.Second
+const lateWindow = time.Second
 
 // lateThroughput measures how quickly late packable requests, whose objective can no longer be met,
 // get servers.
@@ -18,31 +18,31 @@
 // late requests serves them. In a long one they would wait until their callers' deadlines without
 // being served. So one late request stays queued in any case, and as many more as the recent rate
 // of late assignments can serve before their callers' deadlines.
-type latePlaces struct {
+type lateThroughput struct {
 	// since is the start of the current period in which late requests have been queued without a
 	// break, or zero. seen is when late requests were last queued.
 	since time.Time
 	seen  time.Time
 	// assigned lists the times within the last lateWindow at which late requests were assigned
 	// servers, oldest first.
-	placed []time.Time
+	assigned []time.Time
 }
 
 // recordAssignment records that a late request was assigned servers.
-func (latethroughput *latePlaces) give(now time.Time) {
-	latethroughput.placed = append(latethroughput.placed, now)
+func (latethroughput *lateThroughput) recordAssignment(now time.Time) {
+	latethroughput.assigned = append(latethroughput.assigned, now)
 }
 
 // update records whether late requests are queued. Requests may also leave the queue between two
 // updates, so a time without update longer than lateWindow counts as a break too.
-func (latethroughput *latePlaces) note(now time.Time, lateQueued bool) {
-	oldest := now.Add(-watchTime)
-	latethroughput.placed = slices.DeleteFunc(latethroughput.placed, func(at time.Time) bool { return at.Before(oldest) })
+func (latethroughput *lateThroughput) update(now time.Time, lateQueued bool) {
+	oldest := now.Add(-lateWindow)
+	latethroughput.assigned = slices.DeleteFunc(latethroughput.assigned, func(at time.Time) bool { return at.Before(oldest) })
 	if !lateQueued {
 		latethroughput.since = time.Time{}
 		return
 	}
-	if latethroughput.since.IsZero() || now.Sub(latethroughput.seen) > watchTime {
+	if latethroughput.since.IsZero() || now.Sub(latethroughput.seen) > lateWindow {
 		latethroughput.since = now
 	}
 	latethroughput.seen = now
@@ -50,14 +50,14 @@
 
 // expectsAssignment reports whether a late request with the given number of late requests ahead of
 // it is expected to be assigned servers within the given time.
-func (latethroughput *latePlaces) serves(ahead int, within time.Duration, now time.Time) bool {
+func (latethroughput *lateThroughput) expectsAssignment(ahead int, within time.Duration, now time.Time) bool {
 	if within <= 0 {
 		return false
 	}
-	if ahead == 0 || now.Sub(latethroughput.since) < watchTime {
+	if ahead == 0 || now.Sub(latethroughput.since) < lateWindow {
 		return true
 	}
-	return float64(ahead+1) <= float64(len(latethroughput.placed))*within.Seconds()/watchTime.Seconds()
+	return float64(ahead+1) <= float64(len(latethroughput.assigned))*within.Seconds()/lateWindow.Seconds()
 }
 
 // refuse removes the requests that are not expected to be assigned servers in time, and returns
@@ -73,19 +73,19 @@
 			refused = append(refused, Refusal{Key: request.Key})
 			return true
 		}
-		if perSecond, limited := servers.TakesPerSecond(request); limited {
-			if limitServes(request, ahead[request.Service], perSecond, now) {
+		if perSecond, limited := servers.RateLimit(request); limited {
+			if fitsRateLimit(request, ahead[request.Service], perSecond, now) {
 				ahead[request.Service]++
 				return false
 			}
-			refused = append(refused, queue.refusal(request, perSecond, now))
+			refused = append(refused, queue.newRefusal(request, perSecond, now))
 			return true
 		}
-		if !request.Tight || !request.late(now) {
+		if !request.Packable || !request.late(now) {
 			return false
 		}
-		within := request.Leaves.Sub(now) - request.Least
-		if queue.latePlaces(request.Service).serves(ahead[request.Service], within, now) {
+		within := request.CallerDeadline.Sub(now) - request.MinTTFT
+		if queue.lateThroughput(request.Service).expectsAssignment(ahead[request.Service], within, now) {
 			ahead[request.Service]++
 			return false
 		}
@@ -96,16 +96,16 @@
 }
 
 // updateLateThroughput records for which services late packable requests are queued.
-func (queue *Queue) watch(now time.Time) {
+func (queue *Queue) updateLateThroughput(now time.Time) {
 	waiting := make(map[string]bool)
 	for _, request := range queue.waiting {
-		if request.Tight && request.late(now) {
+		if request.Packable && request.late(now) {
 			waiting[request.Service] = true
-			queue.latePlaces(request.Service) // creates the measurement for the first late request of a service
+			queue.lateThroughput(request.Service) // creates the measurement for the first late request of a service
 		}
 	}
 	for service, throughput := range queue.late {
-		throughput.note(now, waiting[service])
+		throughput.update(now, waiting[service])
 	}
 }
 
@@ -116,10 +116,10 @@
 }
 
 // lateThroughput returns the measurement for a service, and creates it if there is none.
-func (queue *Queue) latePlaces(service string) *latePlaces {
+func (queue *Queue) lateThroughput(service string) *lateThroughput {
 	throughput := queue.late[service]
 	if throughput == nil {
-		throughput = &latePlaces{}
+		throughput = &lateThroughput{}
 		queue.late[service] = throughput
 	}
 	return throughput
--- a/internal/dispatch/latethroughput_test.go
+++ b/internal/dispatch/latethroughput_test.go
@@ -20,12 +20,12 @@
 	queue := dispatch.New(slotPolicy{})
 	for id := range late {
 		request := newRequest(uint64(id+1), 1000, start.Add(-time.Duration(late-id)*time.Millisecond), true)
-		request.Leaves = start.Add(waited + 2*time.Second)
+		request.CallerDeadline = start.Add(waited + 2*time.Second)
 		_, placed := queue.Offer(request, servers, start)
 		assert.Assert(t, !placed)
 	}
 	for at := time.Duration(0); at < waited && late > 0; at += 100 * time.Millisecond {
-		_, refused := queue.Pass(servers, start.Add(min(at, 900*time.Millisecond)))
+		_, refused := queue.Dispatch(servers, start.Add(min(at, 900*time.Millisecond)))
 		assert.Equal(t, len(refused), 0)
 	}
 	return queue, servers, start.Add(waited)
@@ -55,7 +55,7 @@
 			if test.leave {
 				now = now.Add(2 * time.Second)
 			}
-			assignments, refused := queue.Pass(servers, now)
+			assignments, refused := queue.Dispatch(servers, now)
 			assert.Equal(t, len(assignments), test.freed)
 			assert.Equal(t, len(refused), test.refused)
 			assert.Equal(t, queue.Len(), test.waiting)
@@ -73,7 +73,7 @@
 		_, placed := queue.Offer(newRequest(100+id, 1000, now.Add(-time.Second), true), servers, now)
 		assert.Assert(t, !placed)
 	}
-	_, refused := queue.Pass(servers, now)
+	_, refused := queue.Dispatch(servers, now)
 	assert.Equal(t, len(refused), 0)
 }
 
@@ -88,7 +88,7 @@
 		assert.Assert(t, !placed)
 	}
 	for _, after := range []time.Duration{0, 2 * time.Second} {
-		_, refused := queue.Pass(servers, now.Add(after))
+		_, refused := queue.Dispatch(servers, now.Add(after))
 		assert.Equal(t, len(refused), 0)
 	}
 }
@@ -123,7 +123,7 @@
 		t.Run(name, func(t *testing.T) {
 			queue, servers, now := newOverloadedQueue(t, waited, 6)
 			servers.evacuated = true
-			assignments, refused := queue.Pass(servers, now)
+			assignments, refused := queue.Dispatch(servers, now)
 			assert.Equal(t, len(assignments), 0)
 			assert.Equal(t, len(refused), 6)
 			assert.Equal(t, queue.Len(), 0)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -19,18 +19,18 @@
 // Servers gives access to the known state of the servers.
 type Servers interface {
 	// Available returns the servers of a service that may get requests.
-	Open(service string) []placement.Server
+	Available(service string) []placement.Server
 	// BackedOff returns the IDs of the servers that asked a VM to send nothing for now.
-	Resting(vm string) []string
+	BackedOff(vm string) []string
 	// RateLimit returns the combined rate limit, in requests a second over all VMs, of the servers
 	// that the request may go to and that accept requests of its VM now. It reports whether all of
 	// these servers advertise limits.
-	TakesPerSecond(request *Request) (float64, bool)
+	RateLimit(request *Request) (float64, bool)
 	// AllEvacuated reports whether the operator has evacuated all servers that the request may go
 	// to.
 	AllEvacuated(request *Request) bool
 	// RecordAssignment records that the servers of a plan are assigned to a request.
-	Take(request *Request, plan placement.Plan)
+	RecordAssignment(request *Request, plan placement.Plan)
 }
 
 // Queue holds the requests that wait for servers. It is not safe for concurrent use.
@@ -39,14 +39,14 @@
 	// waiting has each queued request once, in the order of the last pass.
 	waiting []*Request
 	// late has the throughput of late requests by service.
-	late map[string]*latePlaces
+	late map[string]*lateThroughput
 	// retryTimes has, by service, the retry time given to the last caller refused for rate limits.
-	returns map[string]time.Time
+	retryTimes map[string]time.Time
 }
 
 // New returns an empty queue that places requests by the given policy.
 func New(policy placement.Policy) *Queue {
-	return &Queue{policy: policy, late: make(map[string]*latePlaces), returns: make(map[string]time.Time)}
+	return &Queue{policy: policy, late: make(map[string]*lateThroughput), retryTimes: make(map[string]time.Time)}
 }
 
 // Len returns the number of queued requests.
@@ -59,47 +59,47 @@
 // changed, so the new request overtakes none that could have been placed. But rate-limited servers
 // accept another request by the passing of time alone, so a request behind others for such servers
 // waits for the next pass.
-func (queue *Queue) Offer(request *Request, servers Servers, now time.Time) (Verdict, bool) {
+func (queue *Queue) Offer(request *Request, servers Servers, now time.Time) (Assignment, bool) {
 	queue.Remove(request.Key)
 	queue.waiting = append(queue.waiting, request)
 	if queue.count(request.Service) > 1 {
-		if _, limited := servers.TakesPerSecond(request); limited {
-			return Verdict{}, false
+		if _, limited := servers.RateLimit(request); limited {
+			return Assignment{}, false
 		}
 	}
-	plan, placed := queue.look(request, servers, servers.Open(request.Service), now)
+	plan, placed := queue.tryPlace(request, servers, servers.Available(request.Service), now)
 	if !placed {
-		return Verdict{}, false
+		return Assignment{}, false
 	}
 	queue.waiting = queue.waiting[:len(queue.waiting)-1]
-	servers.Take(request, plan)
-	return Verdict{Key: request.Key, Plan: plan}, true
+	servers.RecordAssignment(request, plan)
+	return Assignment{Key: request.Key, Plan: plan}, true
 }
 
 // Dispatch assigns servers to queued requests, in order of priority, and returns the assignments. A
 // request that fits on no server does not block those behind it. Dispatch then refuses and returns
 // the remaining requests that are not expected to be served in time.
-func (queue *Queue) Pass(servers Servers, now time.Time) ([]Verdict, []Refusal) {
-	queue.watch(now)
+func (queue *Queue) Dispatch(servers Servers, now time.Time) ([]Assignment, []Refusal) {
+	queue.updateLateThroughput(now)
 	slices.SortFunc(queue.waiting, compareAt(now, queue.overloaded))
 	available := make(map[string][]placement.Server)
-	var assignments []Verdict
+	var assignments []Assignment
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(request *Request) bool {
 		serviceServers, found := available[request.Service]
 		if !found {
-			serviceServers = servers.Open(request.Service)
+			serviceServers = servers.Available(request.Service)
 			available[request.Service] = serviceServers
 		}
-		plan, placed := queue.look(request, servers, serviceServers, now)
+		plan, placed := queue.tryPlace(request, servers, serviceServers, now)
 		if !placed {
 			return false
 		}
-		servers.Take(request, plan)
-		if request.Tight && request.late(now) {
-			queue.latePlaces(request.Service).give(now)
+		servers.RecordAssignment(request, plan)
+		if request.Packable && request.late(now) {
+			queue.lateThroughput(request.Service).recordAssignment(now)
 		}
 		delete(available, request.Service) // the assignment has changed their state
-		assignments = append(assignments, Verdict{Key: request.Key, Plan: plan})
+		assignments = append(assignments, Assignment{Key: request.Key, Plan: plan})
 		return true
 	})
 	return assignments, queue.refuse(servers, now)
@@ -127,22 +127,22 @@
 
 // tryPlace applies the policy to one request. It considers only servers that the request may go to
 // and that accept requests of its VM.
-func (queue *Queue) look(request *Request, servers Servers, serviceServers []placement.Server, now time.Time) (placement.Plan, bool) {
-	serviceServers = placement.In(serviceServers, request.KeptTo)
-	serviceServers = placement.Without(serviceServers, servers.Resting(request.VM))
-	untried := placement.Without(serviceServers, request.Tried)
+func (queue *Queue) tryPlace(request *Request, servers Servers, serviceServers []placement.Server, now time.Time) (placement.Plan, bool) {
+	serviceServers = placement.InDataCentres(serviceServers, request.AllowedDataCentres)
+	serviceServers = placement.WithoutIDs(serviceServers, servers.BackedOff(request.VM))
+	untried := placement.WithoutIDs(serviceServers, request.Tried)
 	if len(untried) == 0 {
 		untried = serviceServers // all have failed the request once, so any may be tried again
 	}
-	return queue.policy.Place(untried, request.at(now, queue.waitingWork(request.Service)))
+	return queue.policy.Place(untried, request.placementAt(now, queue.queuedPrefill(request.Service)))
 }
 
 // queuedPrefill returns the total prefill time of the long prompts queued for a service.
-func (queue *Queue) waitingWork(service string) time.Duration {
+func (queue *Queue) queuedPrefill(service string) time.Duration {
 	var prefill time.Duration
 	for _, request := range queue.waiting {
-		if request.Service == service && !request.Tight {
-			prefill += request.Work
+		if request.Service == service && !request.Packable {
+			prefill += request.Prefill
 		}
 	}
 	return prefill
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -43,19 +43,19 @@
 
 var _ dispatch.Servers = (*stub)(nil)
 
-func (stub *stub) Resting(vm string) []string { return stub.backedOff[vm] }
+func (stub *stub) BackedOff(vm string) []string { return stub.backedOff[vm] }
 
 func (stub *stub) AllEvacuated(*dispatch.Request) bool { return stub.evacuated }
 
-func (stub *stub) TakesPerSecond(*dispatch.Request) (float64, bool) {
+func (stub *stub) RateLimit(*dispatch.Request) (float64, bool) {
 	return stub.perSecond, stub.perSecond > 0
 }
 
-func (stub *stub) Open(string) []placement.Server {
+func (stub *stub) Available(string) []placement.Server {
 	return append([]placement.Server(nil), stub.servers...)
 }
 
-func (stub *stub) Take(request *dispatch.Request, plan placement.Plan) {
+func (stub *stub) RecordAssignment(request *dispatch.Request, plan placement.Plan) {
 	for i := range stub.servers {
 		if stub.servers[i].ID == plan.Server.ID {
 			stub.servers[i].Running += request.Placement.Tokens / 1000
@@ -73,18 +73,18 @@
 
 func newRequest(id uint64, tokens int, due time.Time, packable bool) *dispatch.Request {
 	return &dispatch.Request{
-		Key: dispatch.Key{VM: "vm", ID: id}, Service: "engines", Due: due, Leaves: due.Add(10 * time.Second), Tight: packable,
+		Key: dispatch.Key{VM: "vm", ID: id}, Service: "engines", ObjectiveDeadline: due, CallerDeadline: due.Add(10 * time.Second), Packable: packable,
 		Placement: placement.Request{Engine: &catalog.Engine{}, Tokens: tokens},
 	}
 }
 
 // withMinTTFT sets the shortest possible time to the first event.
 func withMinTTFT(request *dispatch.Request, minTTFT time.Duration) *dispatch.Request {
-	request.Least = minTTFT
+	request.MinTTFT = minTTFT
 	return request
 }
 
-func ids(assignments []dispatch.Verdict) []uint64 {
+func ids(assignments []dispatch.Assignment) []uint64 {
 	list := make([]uint64, 0, len(assignments))
 	for _, assignment := range assignments {
 		list = append(list, assignment.ID)
@@ -94,8 +94,8 @@
 
 // dispatchAll runs one pass over the queue, checks that it refuses no request, and returns the
 // assignments.
-func dispatchAll(t assert.TestingT, queue *dispatch.Queue, servers dispatch.Servers, now time.Time) []dispatch.Verdict {
-	assignments, refused := queue.Pass(servers, now)
+func dispatchAll(t assert.TestingT, queue *dispatch.Queue, servers dispatch.Servers, now time.Time) []dispatch.Assignment {
+	assignments, refused := queue.Dispatch(servers, now)
 	assert.Equal(t, len(refused), 0)
 	return assignments
 }
@@ -195,7 +195,7 @@
 	}}
 	queue := dispatch.New(slotPolicy{})
 	restricted := newRequest(1, 1000, now.Add(time.Second), true)
-	restricted.KeptTo = []string{"south", "west"}
+	restricted.AllowedDataCentres = []string{"south", "west"}
 	restricted.Tried = []string{"b"}
 	_, placed := queue.Offer(restricted, servers, now)
 	assert.Assert(t, !placed)
@@ -229,9 +229,9 @@
 		}
 		queue := dispatch.New(slotPolicy{})
 		waiting := make(map[uint64]int)
-		running := make(map[uint64]dispatch.Verdict)
+		running := make(map[uint64]dispatch.Assignment)
 		sizes := make(map[uint64]int)
-		recordAssignment := func(assignment dispatch.Verdict) {
+		recordAssignment := func(assignment dispatch.Assignment) {
 			_, duplicate := running[assignment.ID]
 			assert.Assert(t, !duplicate)
 			delete(waiting, assignment.ID)
--- a/internal/dispatch/refusal_test.go
+++ b/internal/dispatch/refusal_test.go
@@ -56,13 +56,13 @@
 				assert.Assert(t, !placed)
 			}
 			servers.free("a", test.free)
-			assignments, refused := queue.Pass(servers, now)
+			assignments, refused := queue.Dispatch(servers, now)
 			assert.DeepEqual(t, ids(assignments), append([]uint64{}, test.placed...))
 			var refusedIDs []uint64
 			var retryAfter []time.Duration
 			for _, refusal := range refused {
 				refusedIDs = append(refusedIDs, refusal.ID)
-				retryAfter = append(retryAfter, refusal.Return)
+				retryAfter = append(retryAfter, refusal.RetryAfter)
 			}
 			assert.DeepEqual(t, refusedIDs, test.refused)
 			assert.DeepEqual(t, retryAfter, test.retryAfter)
@@ -80,6 +80,6 @@
 	servers.free("a", 1)
 	_, placed := queue.Offer(newRequest(2, 1000, now.Add(400*time.Millisecond), true), servers, now)
 	assert.Assert(t, !placed)
-	assignments, _ := queue.Pass(servers, now)
+	assignments, _ := queue.Dispatch(servers, now)
 	assert.DeepEqual(t, ids(assignments), []uint64{1})
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -22,36 +22,36 @@
 	// Tried lists the IDs of the servers that failed the request.
 	Tried []string
 	// AllowedDataCentres restricts the request to servers in these data centres. Empty means any.
-	KeptTo []string
+	AllowedDataCentres []string
 	// ObjectiveDeadline is when the first event is due. CallerDeadline is until when the caller
 	// waits for it.
-	Due    time.Time
-	Leaves time.Time
+	ObjectiveDeadline time.Time
+	CallerDeadline    time.Time
 	// Packable reports that the request is served by one server beside others at once, or not at
 	// all: a request to a plain service, or one for which placement.Request.Packable holds.
-	Tight bool
+	Packable bool
 	// Prefill is the time that one server takes to prefill the prompt. MinTTFT is the shortest
 	// possible time from assignment to the first event.
-	Work  time.Duration
-	Least time.Duration
+	Prefill time.Duration
+	MinTTFT time.Duration
 	// Placement is the input of the policy. TimeToObjective, TimeToCallerDeadline and QueuedPrefill
 	// are computed for each attempt.
 	Placement placement.Request
 }
 
 // placementAt returns the input of the policy at the given time.
-func (request *Request) at(now time.Time, queuedPrefill time.Duration) placement.Request {
+func (request *Request) placementAt(now time.Time, queuedPrefill time.Duration) placement.Request {
 	input := request.Placement
-	input.Left = request.Due.Sub(now)
-	input.Stays = request.Leaves.Sub(now)
-	input.Waiting = queuedPrefill
+	input.TimeToObjective = request.ObjectiveDeadline.Sub(now)
+	input.TimeToCallerDeadline = request.CallerDeadline.Sub(now)
+	input.QueuedPrefill = queuedPrefill
 	return input
 }
 
 // late reports whether the objective for the first event can no longer be met, whichever server the
 // request gets now.
 func (request *Request) late(now time.Time) bool {
-	return now.Add(request.Least).After(request.Due)
+	return now.Add(request.MinTTFT).After(request.ObjectiveDeadline)
 }
 
 // compareAt orders requests by priority at the given time. First come those that can still meet
@@ -64,8 +64,8 @@
 	return func(a, b *Request) int {
 		return cmp.Or(
 			compareBool(a.late(now), b.late(now)),
-			compareBool(b.Tight, a.Tight),
-			compareDue(a, b, a.Tight && overloaded(a.Service)),
+			compareBool(b.Packable, a.Packable),
+			compareDeadline(a, b, a.Packable && overloaded(a.Service)),
 			cmp.Compare(a.VM, b.VM),
 			cmp.Compare(a.ID, b.ID),
 		)
@@ -73,11 +73,11 @@
 }
 
 // compareDeadline orders requests by when their first event is due, latest first if reversed.
-func compareDue(a, b *Request, reversed bool) int {
+func compareDeadline(a, b *Request, reversed bool) int {
 	if reversed {
-		return b.Due.Compare(a.Due)
+		return b.ObjectiveDeadline.Compare(a.ObjectiveDeadline)
 	}
-	return a.Due.Compare(b.Due)
+	return a.ObjectiveDeadline.Compare(b.ObjectiveDeadline)
 }
 
 // compareBool orders false before true.
@@ -93,7 +93,7 @@
 }
 
 // Assignment is a request with the servers assigned to it.
-type Verdict struct {
+type Assignment struct {
 	Key
 
 	Plan placement.Plan
--- a/internal/exchange/asks.go
+++ b/internal/exchange/asks.go
@@ -7,85 +7,85 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-func encodeAsk(ask dispatch.Ask) *wire.Ask {
+func encodeAsk(ask dispatch.AssignmentRequest) *wire.Ask {
 	return &wire.Ask{
 		Id:           ask.ID,
 		Service:      ask.Service,
 		Tokens:       uint64(ask.Tokens), //nolint:gosec // not negative
 		MemoryTokens: uint64(ask.Memory), //nolint:gosec // not negative
-		GapMs:        milliseconds(ask.Gap),
+		GapMs:        milliseconds(ask.InterTokenObjective),
 		ObjectiveMs:  milliseconds(ask.Objective),
-		DueMs:        int32(ask.Due.Milliseconds()),   //nolint:gosec // minutes at most
-		StaysMs:      int32(ask.Stays.Milliseconds()), //nolint:gosec // minutes at most
+		DueMs:        int32(ask.TimeToObjective.Milliseconds()),      //nolint:gosec // minutes at most
+		StaysMs:      int32(ask.TimeToCallerDeadline.Milliseconds()), //nolint:gosec // minutes at most
 		DataCentre:   ask.DataCentre,
 		Tried:        ask.Tried,
-		Withdrawn:    ask.Withdrawn,
-		Again:        ask.Again,
-		KeptTo:       ask.KeptTo,
+		Withdrawn:    ask.Cancelled,
+		Again:        ask.Retry,
+		KeptTo:       ask.AllowedDataCentres,
 		Counted:      ask.Counted,
 	}
 }
 
-func decodeAsks(asks []*wire.Ask) []dispatch.Ask {
-	list := make([]dispatch.Ask, 0, len(asks))
+func decodeAsks(asks []*wire.Ask) []dispatch.AssignmentRequest {
+	list := make([]dispatch.AssignmentRequest, 0, len(asks))
 	for _, ask := range asks {
-		list = append(list, dispatch.Ask{
-			ID:         ask.GetId(),
-			Service:    ask.GetService(),
-			Tokens:     int(ask.GetTokens()),       //nolint:gosec // millions at most
-			Memory:     int(ask.GetMemoryTokens()), //nolint:gosec // millions at most
-			Gap:        time.Duration(ask.GetGapMs()) * time.Millisecond,
-			Objective:  time.Duration(ask.GetObjectiveMs()) * time.Millisecond,
-			Due:        time.Duration(ask.GetDueMs()) * time.Millisecond,
-			Stays:      time.Duration(ask.GetStaysMs()) * time.Millisecond,
-			DataCentre: ask.GetDataCentre(),
-			Tried:      ask.GetTried(),
-			Withdrawn:  ask.GetWithdrawn(),
-			Again:      ask.GetAgain(),
-			KeptTo:     ask.GetKeptTo(),
-			Counted:    ask.GetCounted(),
+		list = append(list, dispatch.AssignmentRequest{
+			ID:                   ask.GetId(),
+			Service:              ask.GetService(),
+			Tokens:               int(ask.GetTokens()),       //nolint:gosec // millions at most
+			Memory:               int(ask.GetMemoryTokens()), //nolint:gosec // millions at most
+			InterTokenObjective:  time.Duration(ask.GetGapMs()) * time.Millisecond,
+			Objective:            time.Duration(ask.GetObjectiveMs()) * time.Millisecond,
+			TimeToObjective:      time.Duration(ask.GetDueMs()) * time.Millisecond,
+			TimeToCallerDeadline: time.Duration(ask.GetStaysMs()) * time.Millisecond,
+			DataCentre:           ask.GetDataCentre(),
+			Tried:                ask.GetTried(),
+			Cancelled:            ask.GetWithdrawn(),
+			Retry:                ask.GetAgain(),
+			AllowedDataCentres:   ask.GetKeptTo(),
+			Counted:              ask.GetCounted(),
 		})
 	}
 	return list
 }
 
-func encodeAnswer(answer dispatch.Answer) *wire.Verdict {
-	shares := make([]uint64, 0, len(answer.Shares))
-	for _, share := range answer.Shares {
+func encodeAnswer(answer dispatch.AssignmentResponse) *wire.Verdict {
+	shares := make([]uint64, 0, len(answer.MemoryShares))
+	for _, share := range answer.MemoryShares {
 		shares = append(shares, uint64(share)) //nolint:gosec // not negative
 	}
 	return &wire.Verdict{
 		Id:          answer.ID,
 		Decision:    wire.Decision(answer.Decision), //nolint:gosec // few values
 		Servers:     answer.Servers,
-		PartUs:      uint64(answer.Part.Microseconds()), //nolint:gosec // not negative
+		PartUs:      uint64(answer.PrefillPerServer.Microseconds()), //nolint:gosec // not negative
 		Shares:      shares,
-		PredictedMs: milliseconds(answer.Predicted),
-		Tight:       answer.Tight,
-		Limited:     answer.Limited,
-		ReturnMs:    milliseconds(answer.Return),
+		PredictedMs: milliseconds(answer.PredictedTTFT),
+		Tight:       answer.Packable,
+		Limited:     answer.RateLimited,
+		ReturnMs:    milliseconds(answer.RetryAfter),
 		Reason:      answer.Reason,
 	}
 }
 
-func decodeAnswers(verdicts []*wire.Verdict) []dispatch.Answer {
-	list := make([]dispatch.Answer, 0, len(verdicts))
+func decodeAnswers(verdicts []*wire.Verdict) []dispatch.AssignmentResponse {
+	list := make([]dispatch.AssignmentResponse, 0, len(verdicts))
 	for _, verdict := range verdicts {
 		var shares []int
 		for _, share := range verdict.GetShares() {
 			shares = append(shares, int(share)) //nolint:gosec // bounded by any engine's memory
 		}
-		list = append(list, dispatch.Answer{
-			ID:        verdict.GetId(),
-			Decision:  dispatch.Decision(verdict.GetDecision()),
-			Servers:   verdict.GetServers(),
-			Part:      time.Duration(verdict.GetPartUs()) * time.Microsecond, //nolint:gosec // hours at most
-			Shares:    shares,
-			Predicted: time.Duration(verdict.GetPredictedMs()) * time.Millisecond,
-			Tight:     verdict.GetTight(),
-			Limited:   verdict.GetLimited(),
-			Return:    time.Duration(verdict.GetReturnMs()) * time.Millisecond,
-			Reason:    verdict.GetReason(),
+		list = append(list, dispatch.AssignmentResponse{
+			ID:               verdict.GetId(),
+			Decision:         dispatch.Decision(verdict.GetDecision()),
+			Servers:          verdict.GetServers(),
+			PrefillPerServer: time.Duration(verdict.GetPartUs()) * time.Microsecond, //nolint:gosec // hours at most
+			MemoryShares:     shares,
+			PredictedTTFT:    time.Duration(verdict.GetPredictedMs()) * time.Millisecond,
+			Packable:         verdict.GetTight(),
+			RateLimited:      verdict.GetLimited(),
+			RetryAfter:       time.Duration(verdict.GetReturnMs()) * time.Millisecond,
+			Reason:           verdict.GetReason(),
 		})
 	}
 	return list
--- a/internal/exchange/asks_internal_test.go
+++ b/internal/exchange/asks_internal_test.go
@@ -26,33 +26,33 @@
 func TestAsksAndAnswersRoundTrip(t *testing.T) {
 	names := rapid.SliceOfN(rapid.StringMatching(`[a-z0-9-]{1,20}`), 0, dispatchServers)
 	rapid.Check(t, func(t *rapid.T) {
-		ask := dispatch.Ask{
-			ID:         rapid.Uint64().Draw(t, "id"),
-			Service:    rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "service"),
-			Tokens:     rapid.IntRange(0, 2_000_000).Draw(t, "tokens"),
-			Memory:     rapid.IntRange(0, 2_000_000).Draw(t, "memory"),
-			Gap:        drawMilliseconds(t, 0, "gap"),
-			Objective:  drawMilliseconds(t, 0, "objective"),
-			Due:        drawMilliseconds(t, -aMinute, "due"),
-			Stays:      drawMilliseconds(t, -aMinute, "stays"),
-			DataCentre: rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "data centre"),
-			Tried:      names.Draw(t, "tried"),
-			KeptTo:     names.Draw(t, "kept to"),
-			Withdrawn:  rapid.Bool().Draw(t, "withdrawn"),
-			Again:      rapid.Bool().Draw(t, "again"),
-			Counted:    rapid.Bool().Draw(t, "counted"),
+		ask := dispatch.AssignmentRequest{
+			ID:                   rapid.Uint64().Draw(t, "id"),
+			Service:              rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "service"),
+			Tokens:               rapid.IntRange(0, 2_000_000).Draw(t, "tokens"),
+			Memory:               rapid.IntRange(0, 2_000_000).Draw(t, "memory"),
+			InterTokenObjective:  drawMilliseconds(t, 0, "gap"),
+			Objective:            drawMilliseconds(t, 0, "objective"),
+			TimeToObjective:      drawMilliseconds(t, -aMinute, "due"),
+			TimeToCallerDeadline: drawMilliseconds(t, -aMinute, "stays"),
+			DataCentre:           rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "data centre"),
+			Tried:                names.Draw(t, "tried"),
+			AllowedDataCentres:   names.Draw(t, "kept to"),
+			Cancelled:            rapid.Bool().Draw(t, "withdrawn"),
+			Retry:                rapid.Bool().Draw(t, "again"),
+			Counted:              rapid.Bool().Draw(t, "counted"),
 		}
-		answer := dispatch.Answer{
-			ID:        rapid.Uint64().Draw(t, "answered"),
-			Decision:  dispatch.Decision(rapid.IntRange(0, 2).Draw(t, "decision")),
-			Servers:   names.Draw(t, "servers"),
-			Part:      time.Duration(rapid.IntRange(0, math.MaxInt32).Draw(t, "part")) * time.Microsecond,
-			Shares:    rapid.SliceOfN(rapid.IntRange(0, 2_000_000), 0, dispatchServers).Draw(t, "shares"),
-			Predicted: drawMilliseconds(t, 0, "predicted"),
-			Tight:     rapid.Bool().Draw(t, "tight"),
-			Return:    drawMilliseconds(t, 0, "return"),
-			Limited:   rapid.Bool().Draw(t, "limited"),
-			Reason:    rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "reason"),
+		answer := dispatch.AssignmentResponse{
+			ID:               rapid.Uint64().Draw(t, "answered"),
+			Decision:         dispatch.Decision(rapid.IntRange(0, 2).Draw(t, "decision")),
+			Servers:          names.Draw(t, "servers"),
+			PrefillPerServer: time.Duration(rapid.IntRange(0, math.MaxInt32).Draw(t, "part")) * time.Microsecond,
+			MemoryShares:     rapid.SliceOfN(rapid.IntRange(0, 2_000_000), 0, dispatchServers).Draw(t, "shares"),
+			PredictedTTFT:    drawMilliseconds(t, 0, "predicted"),
+			Packable:         rapid.Bool().Draw(t, "tight"),
+			RetryAfter:       drawMilliseconds(t, 0, "return"),
+			RateLimited:      rapid.Bool().Draw(t, "limited"),
+			Reason:           rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "reason"),
 		}
 		data, err := proto.Marshal(&wire.LoadUpdate{
 			Asks: []*wire.Ask{encodeAsk(ask)}, Verdicts: []*wire.Verdict{encodeAnswer(answer)},
@@ -64,22 +64,22 @@
 		gotAsk, gotAnswer := decodeAsks(update.GetAsks())[0], decodeAnswers(update.GetVerdicts())[0]
 		assert.Equal(t, len(gotAsk.Tried), len(ask.Tried))
 		assert.Equal(t, len(gotAnswer.Servers), len(answer.Servers))
-		assert.Equal(t, len(gotAnswer.Shares), len(answer.Shares))
+		assert.Equal(t, len(gotAnswer.MemoryShares), len(answer.MemoryShares))
 		for i := range ask.Tried {
 			assert.Equal(t, gotAsk.Tried[i], ask.Tried[i])
 		}
-		assert.Equal(t, len(gotAsk.KeptTo), len(ask.KeptTo))
-		for i := range ask.KeptTo {
-			assert.Equal(t, gotAsk.KeptTo[i], ask.KeptTo[i])
+		assert.Equal(t, len(gotAsk.AllowedDataCentres), len(ask.AllowedDataCentres))
+		for i := range ask.AllowedDataCentres {
+			assert.Equal(t, gotAsk.AllowedDataCentres[i], ask.AllowedDataCentres[i])
 		}
 		for i := range answer.Servers {
 			assert.Equal(t, gotAnswer.Servers[i], answer.Servers[i])
 		}
-		for i := range answer.Shares {
-			assert.Equal(t, gotAnswer.Shares[i], answer.Shares[i])
+		for i := range answer.MemoryShares {
+			assert.Equal(t, gotAnswer.MemoryShares[i], answer.MemoryShares[i])
 		}
-		gotAsk.KeptTo = ask.KeptTo
-		gotAsk.Tried, gotAnswer.Servers, gotAnswer.Shares = ask.Tried, answer.Servers, answer.Shares
+		gotAsk.AllowedDataCentres = ask.AllowedDataCentres
+		gotAsk.Tried, gotAnswer.Servers, gotAnswer.MemoryShares = ask.Tried, answer.Servers, answer.MemoryShares
 		assert.DeepEqual(t, gotAsk, ask)
 		assert.DeepEqual(t, gotAnswer, answer)
 	})
--- a/internal/exchange/coordinators.go
+++ b/internal/exchange/coordinators.go
@@ -41,8 +41,8 @@
 	return append(warm, cold...)
 }
 
-// Doubt marks a VM that did not answer as unresponsive, until a datagram arrives from it.
-func (exchange *Exchange) Doubt(vm string) {
+// ReportUnresponsive marks a VM that did not answer as unresponsive, until a datagram arrives from it.
+func (exchange *Exchange) ReportUnresponsive(vm string) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	if peer := exchange.peers[vm]; peer != nil && !peer.doubted {
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -149,7 +149,7 @@
 		before := vms.agreed(t)
 		first := numberOf(t, before[0])
 		vms.network.SetDark(address(first), true)
-		vms.parts[20].Doubt(before[0])
+		vms.parts[20].ReportUnresponsive(before[0])
 		assert.Equal(t, vms.parts[20].Coordinators()[0], before[1], "a VM that marked it unresponsive must use the next one at once")
 		time.Sleep(2200 * time.Millisecond)
 		after := vms.agreed(t, first)
@@ -194,7 +194,7 @@
 		time.Sleep(100 * time.Millisecond) // the heartbeats at 3.0 s would clear a mark set at the same time
 		coordinators := vms.agreed(t)
 		for _, vm := range coordinators {
-			vms.parts[20].Doubt(vm)
+			vms.parts[20].ReportUnresponsive(vm)
 		}
 		assert.Equal(t, len(vms.parts[20].Coordinators()), 0)
 		time.Sleep(700 * time.Millisecond)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -39,9 +39,9 @@
 	// Own returns all current reports of this VM, which each heartbeat repeats.
 	Own() []pool.Report
 	// HandleRequests handles requests for servers that another VM sends to this coordinator.
-	Asked(vm string, asks []dispatch.Ask)
+	HandleRequests(vm string, asks []dispatch.AssignmentRequest)
 	// HandleAnswers handles what another VM, a coordinator, decided for requests of this one.
-	Answered(vm string, answers []dispatch.Answer)
+	HandleResponses(vm string, answers []dispatch.AssignmentResponse)
 	// Quarantined returns the quarantined requests, which this VM sends to no server, the newest entries first.
 	Quarantined() []quarantine.Entry
 	// HandleQuarantined handles the quarantine entries of another VM.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -94,9 +94,9 @@
 	sink.told[vm] = append(sink.told[vm], reports...)
 }
 
-func (*sink) Asked(string, []dispatch.Ask) {}
+func (*sink) HandleRequests(string, []dispatch.AssignmentRequest) {}
 
-func (*sink) Answered(string, []dispatch.Answer) {}
+func (*sink) HandleResponses(string, []dispatch.AssignmentResponse) {}
 
 func (sink *sink) Quarantined() []quarantine.Entry {
 	sink.mu.Lock()
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -62,10 +62,10 @@
 		sink.ToldQuarantined(decodeQuarantined(update.GetQuarantined(), exchange.now()))
 	}
 	if len(update.GetAsks()) > 0 {
-		sink.Asked(update.GetVm(), decodeAsks(update.GetAsks()))
+		sink.HandleRequests(update.GetVm(), decodeAsks(update.GetAsks()))
 	}
 	if len(update.GetVerdicts()) > 0 {
-		sink.Answered(update.GetVm(), decodeAnswers(update.GetVerdicts()))
+		sink.HandleResponses(update.GetVm(), decodeAnswers(update.GetVerdicts()))
 	}
 }
 
--- a/internal/exchange/send.go
+++ b/internal/exchange/send.go
@@ -69,15 +69,15 @@
 	return updates
 }
 
-// Ask sends a request for servers to another VM, a coordinator. It sends nothing if the VM is unknown.
-func (exchange *Exchange) Ask(vm string, ask dispatch.Ask) {
+// SendRequest sends a request for servers to another VM, a coordinator. It sends nothing if the VM is unknown.
+func (exchange *Exchange) SendRequest(vm string, ask dispatch.AssignmentRequest) {
 	update := exchange.update()
 	update.Asks = []*wire.Ask{encodeAsk(ask)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
-// Answer sends the decision on a request to the VM that the request came from. It sends nothing if the VM is unknown.
-func (exchange *Exchange) Answer(vm string, answer dispatch.Answer) {
+// SendResponse sends the decision on a request to the VM that the request came from. It sends nothing if the VM is unknown.
+func (exchange *Exchange) SendResponse(vm string, answer dispatch.AssignmentResponse) {
 	update := exchange.update()
 	update.Verdicts = []*wire.Verdict{encodeAnswer(answer)}
 	exchange.sendTo(exchange.addressOf(vm), update)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -77,20 +77,20 @@
 
 // reserve reserves memory at the servers of a plan. It returns nil without an error if the
 // plan needs none.
-func (forwarder *run) reserve(ctx context.Context, plan placement.Plan) (*reservation.Held, error) {
-	if len(plan.Shares) == 0 {
+func (forwarder *run) reserve(ctx context.Context, plan placement.Plan) (*reservation.Reservation, error) {
+	if len(plan.MemoryShares) == 0 {
 		return nil, nil //nolint:nilnil // nil means that the plan needs no reservation
 	}
 	servers := append([]placement.Server{plan.Server}, plan.Helpers...)
-	requests := make([]reservation.Want, 0, len(servers))
+	requests := make([]reservation.Claim, 0, len(servers))
 	for i, server := range servers {
-		if plan.Shares[i] == 0 {
+		if plan.MemoryShares[i] == 0 {
 			continue
 		}
-		requests = append(requests, reservation.Want{Instance: server.ID, Address: server.Address, Tokens: plan.Shares[i]})
+		requests = append(requests, reservation.Claim{Instance: server.ID, Address: server.Address, Tokens: plan.MemoryShares[i]})
 	}
 	ticket := fmt.Sprintf("%s-%016x-%d", forwarder.gateway.site.VM, forwarder.seed, forwarder.looks)
-	reserved, err := forwarder.gateway.reservations.Gather(ctx, ticket, requests)
+	reserved, err := forwarder.gateway.reservations.Reserve(ctx, ticket, requests)
 	forwarder.noteNotFree(err)
 	return reserved, errors.Wrap(err, "reserve engine memory")
 }
@@ -109,7 +109,7 @@
 // A server that failed in any other way is not tried again for this request; otherwise every
 // evaluation would produce the same plan until the request is refused.
 func (forwarder *run) noteNotFree(err error) {
-	var failed *reservation.GatherError
+	var failed *reservation.ReserveError
 	if !errors.As(err, &failed) {
 		return
 	}
@@ -139,7 +139,7 @@
 	if !forwarder.route.Repeatable() || forwarder.runs+1 >= forwarder.route.MaxAttempts {
 		return 0
 	}
-	expected := max(plan.Predicted, forwarder.route.Objective)
+	expected := max(plan.PredictedTTFT, forwarder.route.Objective)
 	return settings.Silence + time.Duration(settings.SilencePart*float64(expected))
 }
 
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -44,12 +44,12 @@
 		id := gateway.pool.ReserveID()
 		alreadyCounted := forwarder.asked
 		forwarder.asked = true
-		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.Ask { return forwarder.newAsk(id, alreadyCounted) })
+		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest { return forwarder.newAsk(id, alreadyCounted) })
 		forwarder.refused = placed && answer.Decision == dispatch.DecisionRefused
 		switch {
 		case forwarder.refused && forwarder.hopeless():
-		case forwarder.refused && answer.Return > 0:
-			forwarder.givenUp = givenUp{reason: ReasonLimited, until: gateway.now().Add(answer.Return)}
+		case forwarder.refused && answer.RetryAfter > 0:
+			forwarder.givenUp = givenUp{reason: ReasonLimited, until: gateway.now().Add(answer.RetryAfter)}
 		case forwarder.refused && forwarder.sends > 0:
 			forwarder.givenUp = givenUp{reason: ReasonRefused}
 		}
@@ -58,7 +58,7 @@
 		}
 		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, answer.Servers)
 		if len(missing) == 0 {
-			if answer.Limited {
+			if answer.RateLimited {
 				gateway.pool.WatchLimit(servers[0].ID)
 			}
 			plan := planOf(answer, servers)
@@ -67,7 +67,7 @@
 		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
 		// does not include a new server yet. Another placement is requested without the missing
 		// servers.
-		gateway.coordinator.Withdraw(id)
+		gateway.coordinator.ReleaseAssignment(id)
 		gateway.logger.Info("coordinator chose servers that are not in the pool", "request_id", forwarder.head.ID, "servers", missing)
 		if slices.Contains(forwarder.tried, missing[0]) {
 			return placement.Plan{}, nil, false // the coordinator has no other servers
@@ -79,36 +79,36 @@
 
 // newAsk returns the placement request for the coordinator. alreadyCounted is true when
 // the coordinator has counted the request for the retry budget before.
-func (forwarder *run) newAsk(id uint64, alreadyCounted bool) dispatch.Ask {
+func (forwarder *run) newAsk(id uint64, alreadyCounted bool) dispatch.AssignmentRequest {
 	request := forwarder.placementRequest()
-	return dispatch.Ask{
+	return dispatch.AssignmentRequest{
 		ID: id, Service: forwarder.service.Name, Tokens: request.Tokens, Memory: request.Memory,
-		Gap: request.Gap, Objective: request.Objective, Due: request.Left, Stays: request.Stays,
-		DataCentre: request.DataCentre, Tried: forwarder.tried, KeptTo: forwarder.keptTo, Again: forwarder.arrivals > 0 && forwarder.gateway.retriesGranted(),
+		InterTokenObjective: request.InterTokenObjective, Objective: request.Objective, TimeToObjective: request.TimeToObjective, TimeToCallerDeadline: request.TimeToCallerDeadline,
+		DataCentre: request.DataCentre, Tried: forwarder.tried, AllowedDataCentres: forwarder.keptTo, Retry: forwarder.arrivals > 0 && forwarder.gateway.retriesGranted(),
 		Counted: alreadyCounted,
 	}
 }
 
 // planOf returns the plan of the coordinator's decision, over the servers that it names.
-func planOf(answer dispatch.Answer, servers []placement.Server) placement.Plan {
+func planOf(answer dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
 	return placement.Plan{
-		Server: servers[0], Helpers: servers[1:], Part: answer.Part, Shares: answer.Shares,
-		Predicted: answer.Predicted, Tight: answer.Tight, Reason: placement.Reason(answer.Reason),
+		Server: servers[0], Helpers: servers[1:], PrefillPerServer: answer.PrefillPerServer, MemoryShares: answer.MemoryShares,
+		PredictedTTFT: answer.PredictedTTFT, Packable: answer.Packable, Reason: placement.Reason(answer.Reason),
 	}
 }
 
 // heldUntil returns until when a request is queued. A plain request, or one that was already
 // sent to a server, is queued until its deadline. Any other request is queued as long as the
-// settings allow, or, if it is tight (see placement.Request.Tight), while its caller could still
+// settings allow, or, if it is tight (see placement.Request.Packable), while its caller could still
 // receive an event in time. This bounds the queue and the memory for its bodies, and leaves the
 // caller time to retry.
 func (forwarder *run) heldUntil() time.Time {
 	request := forwarder.placementRequest()
-	if forwarder.sends > 0 || request.Engine == nil || request.Gap == 0 {
+	if forwarder.sends > 0 || request.Engine == nil || request.InterTokenObjective == 0 {
 		return forwarder.deadline
 	}
-	if request.Tight() {
-		return forwarder.leaves().Add(-request.Least())
+	if request.Packable() {
+		return forwarder.leaves().Add(-request.MinTTFT())
 	}
 	settings := forwarder.gateway.settings.Request
 	return forwarder.arrived.Add(settings.LastLook + time.Duration(min(
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -189,7 +189,7 @@
 
 // dispatch returns the fields that are sent to the server of a plan. The reservation is nil if no
 // memory was reserved.
-func (forwarder *run) dispatch(plan placement.Plan, reserved *reservation.Held) call.Dispatch {
+func (forwarder *run) dispatch(plan placement.Plan, reserved *reservation.Reservation) call.Dispatch {
 	dispatch := call.Dispatch{
 		Instance:     plan.Server.ID,
 		Time:         forwarder.callerDeadline.Sub(forwarder.gateway.now()),
@@ -202,7 +202,7 @@
 	}
 	for i, helper := range plan.Helpers {
 		next := call.Helper{Address: helper.Address}
-		if reserved != nil && plan.Shares[i+1] > 0 {
+		if reserved != nil && plan.MemoryShares[i+1] > 0 {
 			next.Ticket = reserved.Ticket()
 		}
 		dispatch.Helpers = append(dispatch.Helpers, next)
@@ -259,7 +259,7 @@
 
 // noteFailure reports a failed attempt to the pool and the quarantine, and logs it.
 func (forwarder *run) noteFailure(plan placement.Plan, result result) {
-	failedServer := plan.Named(result.atFault)
+	failedServer := plan.ServerIDAt(result.atFault)
 	forwarder.tried = append(forwarder.tried, failedServer)
 	suspect := false
 	switch {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	policy       placement.Policy
 	coordinator  *coordinator.Coordinator
 	upstream     *upstream.Client
-	reservations *reservation.Book
+	reservations *reservation.Manager
 	metrics      *metrics
 	idle         *idleConnections
 	returns      *returns
@@ -167,7 +167,7 @@
 	gateway.upstream = upstream.New(settings.Upstream, hostNetwork, notices{gateway}, now)
 	gateway.coordinator = coordinator.New(settings.Coordinator, site.VM, gateway.policy, gateway.pool, gateway.service,
 		&commonRetries{gateway: gateway, budgets: make(map[string]*commonBudget)}, exchange, now)
-	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithHoldAtMost(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
+	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxHold(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
 	gateway.metrics = newMetrics(gateway)
 	gateway.bounds.Store(&site.Bounds)
 	transport := network.NewTransport(hostNetwork)
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -21,7 +21,7 @@
 			"waited", now.Sub(startedAt), "held_enough", forwarder.heldEnough())
 		return placement.Plan{}, nil, false
 	}
-	forwarder.account.place(now.Sub(startedAt), now.Sub(forwarder.arrived), plan.Predicted)
+	forwarder.account.place(now.Sub(startedAt), now.Sub(forwarder.arrived), plan.PredictedTTFT)
 	forwarder.logPlan(plan, now.Sub(startedAt))
 	return plan, use, true
 }
@@ -30,7 +30,7 @@
 // servers. It reports false if no server has capacity.
 func (forwarder *run) look() (placement.Plan, *pool.Use, bool) {
 	gateway := forwarder.gateway
-	servers := placement.In(gateway.open(forwarder.service, forwarder.tried), forwarder.keptTo)
+	servers := placement.InDataCentres(gateway.open(forwarder.service, forwarder.tried), forwarder.keptTo)
 	if len(servers) == 0 {
 		forwarder.tried = nil // every server failed once, so all are eligible again
 	}
@@ -66,7 +66,7 @@
 // open returns the servers that may get a request, with this VM's connections to them.
 // It excludes servers that were tried and servers that requested backoff from this VM.
 func (gateway *Gateway) open(service *catalog.Service, tried []string) []placement.Server {
-	servers := placement.Without(gateway.pool.Open(service, tried), gateway.pool.Resting(gateway.site.VM))
+	servers := placement.WithoutIDs(gateway.pool.Available(service, tried), gateway.pool.BackedOff(gateway.site.VM))
 	for i := range servers {
 		servers[i].Connected = gateway.upstream.Kept(servers[i].Address)
 	}
@@ -80,27 +80,27 @@
 	}
 	forwarder.gateway.logger.Info("placed", "request_id", forwarder.head.ID, "send", forwarder.sends, "route", forwarder.route.Name,
 		"tokens", forwarder.tokens(), "server", plan.Server.ID, "helpers", helpers, "reason", plan.Reason,
-		"predicted", plan.Predicted, "part", plan.Part, "backlog", plan.Server.Backlog,
-		"running", plan.Server.Running, "tight", plan.Server.Tight, "memory_free", plan.Server.MemoryFree,
+		"predicted", plan.PredictedTTFT, "part", plan.PrefillPerServer, "backlog", plan.Server.Backlog,
+		"running", plan.Server.Running, "tight", plan.Server.Packable, "memory_free", plan.Server.MemoryFree,
 		"waited", waited)
 }
 
 // placementRequest returns the request in the form that placement policies evaluate.
 func (forwarder *run) placementRequest() placement.Request {
 	request := placement.Request{
-		DataCentre:  forwarder.gateway.site.DataCentre,
-		Gap:         forwarder.route.Gap,
-		ShortestGap: forwarder.service.ShortestGap,
-		Objective:   forwarder.route.Objective,
-		Stays:       forwarder.leaves().Sub(forwarder.gateway.now()),
-		Seed:        forwarder.seed + uint64(forwarder.sends), //nolint:gosec // never negative
+		DataCentre:                  forwarder.gateway.site.DataCentre,
+		InterTokenObjective:         forwarder.route.Gap,
+		ShortestInterTokenObjective: forwarder.service.ShortestGap,
+		Objective:                   forwarder.route.Objective,
+		TimeToCallerDeadline:        forwarder.leaves().Sub(forwarder.gateway.now()),
+		Seed:                        forwarder.seed + uint64(forwarder.sends), //nolint:gosec // never negative
 	}
 	if forwarder.head.Prompt != nil {
 		request.Engine = forwarder.service.Engine
 		request.Tokens = forwarder.head.Prompt.Tokens
 		request.Memory = forwarder.head.Prompt.Tokens + forwarder.head.Prompt.MaxTokens
 	}
-	request.Left = forwarder.due(request.Tight()).Sub(forwarder.gateway.now())
+	request.TimeToObjective = forwarder.due(request.Packable()).Sub(forwarder.gateway.now())
 	return request
 }
 
--- a/internal/gateway/rejection.go
+++ b/internal/gateway/rejection.go
@@ -17,7 +17,7 @@
 // goes to another VM, from which the servers may not have requested backoff.
 func (forwarder *run) restTooLong() bool {
 	backoffEnd, allBackingOff := forwarder.gateway.pool.RestOver(forwarder.service, forwarder.keptTo)
-	if !allBackingOff || !backoffEnd.After(forwarder.due(forwarder.placementRequest().Tight())) {
+	if !allBackingOff || !backoffEnd.After(forwarder.due(forwarder.placementRequest().Packable())) {
 		return false
 	}
 	forwarder.givenUp = givenUp{reason: ReasonResting, until: backoffEnd}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -53,7 +53,7 @@
 	elapsed := gateway.now().Sub(forwarder.arrived)
 	gateway.metrics.firstEvent.WithLabelValues(forwarder.route.Name).Observe(elapsed.Seconds())
 	gateway.logger.Info("first event", "request_id", forwarder.head.ID, "server", activeAttempt.plan.Server.ID,
-		"took", elapsed, "predicted", activeAttempt.plan.Predicted)
+		"took", elapsed, "predicted", activeAttempt.plan.PredictedTTFT)
 }
 
 // cut returns the result of a stream that broke off. receivedEvent is true if the
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -84,14 +84,14 @@
 	asked time.Time
 }
 
-var _ coordinator.Retries = (*commonRetries)(nil)
+var _ coordinator.RetryBudget = (*commonRetries)(nil)
 
-// Earn implements coordinator.Retries.
+// Earn implements coordinator.RetryBudget.
 func (sharedretries *commonRetries) Earn(service string) {
 	sharedretries.of(service).Earn()
 }
 
-// Spend implements coordinator.Retries.
+// Spend implements coordinator.RetryBudget.
 func (sharedretries *commonRetries) Spend(service string) bool {
 	return sharedretries.of(service).Spend()
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -182,10 +182,10 @@
 func newPolicy(settings Settings) placement.Policy {
 	switch settings.Policy {
 	case PolicyLeastInHand:
-		return placement.LeastInHand{}
+		return placement.LeastRequests{}
 	case PolicyRoundRobin:
 		return placement.RoundRobin{}
 	default:
-		return placement.New(settings.Placement.WithSilence(settings.Request.silence))
+		return placement.New(settings.Placement.WithStreamTimeout(settings.Request.silence))
 	}
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -13,13 +13,13 @@
 
 	// index is the server's position among those that were compared.
 	index int
-	harm  float64
+	cost  float64
 }
 
 // compare orders servers by cost, then by prefill backlog, then by index.
 func (candidate candidate) compare(other candidate) int {
 	return cmp.Or(
-		cmp.Compare(candidate.harm, other.harm),
+		cmp.Compare(candidate.cost, other.cost),
 		cmp.Compare(candidate.Backlog, other.Backlog),
 		cmp.Compare(candidate.index, other.index),
 	)
@@ -28,38 +28,38 @@
 // worse reports whether a server has a higher cost or a longer prefill backlog than another
 // one.
 func (candidate candidate) worse(other candidate) bool {
-	return candidate.harm > other.harm || candidate.Backlog > other.Backlog
+	return candidate.cost > other.cost || candidate.Backlog > other.Backlog
 }
 
 // exceedsStreamTimeout reports whether a forward pass is so long that streams at a server time out
 // and are retried, which would prefill their prompts again at another server.
-func (lengthaware LengthAware) silences(server *Server, pass time.Duration) bool {
-	streamTimeout := lengthaware.settings.silence
-	return streamTimeout != nil && server.MinGap > 0 && pass > streamTimeout(server.MinGap)
+func (lengthaware LengthAware) exceedsStreamTimeout(server *Server, pass time.Duration) bool {
+	streamTimeout := lengthaware.settings.streamTimeout
+	return streamTimeout != nil && server.MinInterTokenObjective > 0 && pass > streamTimeout(server.MinInterTokenObjective)
 }
 
 // costs returns the servers with the cost of prefilling a part there, in buffer. It leaves out
 // servers where the part would make streams time out.
-func (lengthaware LengthAware) harms(buffer []candidate, servers []Server, request Request, part time.Duration) []candidate {
+func (lengthaware LengthAware) costs(buffer []candidate, servers []Server, request Request, part time.Duration) []candidate {
 	lostFraction := 1 - lengthaware.settings.LatePart
 	costed := buffer[:0]
 	for i := range servers {
 		server := &servers[i]
 		pass := lengthaware.pass(server, request, part)
-		if lengthaware.silences(server, pass) {
+		if lengthaware.exceedsStreamTimeout(server, pass) {
 			continue
 		}
 		// Packable requests that arrive during the prefill of the part wait for it.
-		cost := lostFraction * server.TightWeight * part.Seconds() / lengthaware.settings.TightLife.Seconds()
+		cost := lostFraction * server.PackableWeight * part.Seconds() / lengthaware.settings.TightLife.Seconds()
 		// The pass costs only streams whose objective for inter-token latency is shorter.
 		// Objectives differ between kinds of request.
-		if server.TightGap > 0 && pass > server.TightGap {
-			cost += lostFraction * server.TightWeight
+		if server.PackableInterTokenObjective > 0 && pass > server.PackableInterTokenObjective {
+			cost += lostFraction * server.PackableWeight
 		}
-		if server.LooseGap > 0 && pass > server.LooseGap {
-			cost += lostFraction * server.LooseWeight
+		if server.OtherInterTokenObjective > 0 && pass > server.OtherInterTokenObjective {
+			cost += lostFraction * server.OtherWeight
 		}
-		costed = append(costed, candidate{Server: server, index: i, harm: cost})
+		costed = append(costed, candidate{Server: server, index: i, cost: cost})
 	}
 	return costed
 }
@@ -67,7 +67,7 @@
 // lowestCost returns the first servers of a list in the order of compare. It keeps only that many
 // in order instead of sorting all for each number of parts, which makes placing a long prompt fast
 // among many servers (BenchmarkPlace).
-func leastHarmed(costs []candidate, count int) []candidate {
+func lowestCost(costs []candidate, count int) []candidate {
 	lowest := make([]candidate, 0, count+1)
 	for _, server := range costs {
 		if len(lowest) == count && server.compare(lowest[count-1]) > 0 {
--- a/internal/placement/candidate_internal_test.go
+++ b/internal/placement/candidate_internal_test.go
@@ -18,11 +18,11 @@
 		server := &Server{
 			Slots:      10,
 			Running:    rapid.IntRange(8, 10).Draw(t, "running"),
-			Tight:      rapid.IntRange(0, 2).Draw(t, "tight"),
+			Packable:   rapid.IntRange(0, 2).Draw(t, "tight"),
 			Backlog:    time.Duration(rapid.IntRange(0, 3).Draw(t, "backlog")) * time.Millisecond,
 			MemoryFree: 1000 * rapid.IntRange(0, 4).Draw(t, "memory"),
 		}
-		list = append(list, candidate{Server: server, index: i, harm: float64(rapid.IntRange(0, 2).Draw(t, "harm"))})
+		list = append(list, candidate{Server: server, index: i, cost: float64(rapid.IntRange(0, 2).Draw(t, "harm"))})
 	}
 	return list
 }
@@ -31,7 +31,7 @@
 func sorted(costs []candidate) []candidate {
 	list := slices.Clone(costs)
 	slices.SortStableFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.harm, b.harm), cmp.Compare(a.Backlog, b.Backlog))
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.Backlog, b.Backlog))
 	})
 	return list
 }
@@ -42,14 +42,14 @@
 	last := order[parts-1]
 	var best candidate
 	for i, server := range order {
-		if !server.writes(request) {
+		if !server.canDecode(request) {
 			continue
 		}
 		worse := server.worse(last)
 		if worse && (best.Server != nil || i < parts) {
 			continue
 		}
-		if best.Server == nil || cmp.Or(cmp.Compare(server.Tight, best.Tight), cmp.Compare(server.MemoryFree, best.MemoryFree)) < 0 {
+		if best.Server == nil || cmp.Or(cmp.Compare(server.Packable, best.Packable), cmp.Compare(server.MemoryFree, best.MemoryFree)) < 0 {
 			best = server
 		}
 		if worse {
@@ -67,16 +67,16 @@
 		parts := rapid.IntRange(1, len(costs)).Draw(t, "parts")
 		request := Request{Memory: 1000 * rapid.IntRange(0, 4).Draw(t, "needed")}
 		order := sorted(costs)
-		prefillServers := leastHarmed(costs, parts)
+		prefillServers := lowestCost(costs, parts)
 		for i := range prefillServers {
 			assert.Equal(t, prefillServers[i].index, order[i].index)
 		}
-		decodeServer, found := writerAmong(costs, prefillServers, request)
+		decodeServer, found := chooseDecodeServer(costs, prefillServers, request)
 		expected, expectedFound := decodeServerInOrder(order, parts, request)
 		assert.Equal(t, found, expectedFound)
 		if found {
 			assert.Equal(t, decodeServer.index, expected.index)
-			all := withWriter(prefillServers, decodeServer)
+			all := withDecodeServer(prefillServers, decodeServer)
 			assert.Equal(t, len(all), parts)
 			assert.Equal(t, all[0].index, decodeServer.index)
 		}
--- a/internal/placement/indatacentres.go
+++ b/internal/placement/indatacentres.go
@@ -4,7 +4,7 @@
 
 // InDataCentres returns the servers of the given data centres, or all servers if no data centre is
 // given.
-func In(servers []Server, dataCentres []string) []Server {
+func InDataCentres(servers []Server, dataCentres []string) []Server {
 	if len(dataCentres) == 0 {
 		return servers
 	}
--- a/internal/placement/leastrequests.go
+++ b/internal/placement/leastrequests.go
@@ -1,29 +1,29 @@
 package placement
 
 // ReasonLeastRequests is the reason of LeastRequests.
-const ReasonLeastInHand Reason = "least in hand"
+const ReasonLeastRequests Reason = "least in hand"
 
 // LeastRequests chooses the server with the fewest running requests. Servers that are not suspect
 // go first; among equal ones it prefers the request's data centre.
-type LeastInHand struct{}
+type LeastRequests struct{}
 
-var _ Policy = LeastInHand{}
+var _ Policy = LeastRequests{}
 
 // Place implements Policy.
-func (LeastInHand) Place(servers []Server, request Request) (Plan, bool) {
+func (LeastRequests) Place(servers []Server, request Request) (Plan, bool) {
 	best := -1
 	for i := range servers {
-		if best < 0 || lessInHand(&servers[i], &servers[best], request.DataCentre) {
+		if best < 0 || lessLoaded(&servers[i], &servers[best], request.DataCentre) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Plan{}, false
 	}
-	return Plan{Server: servers[best], Reason: ReasonLeastInHand}, true
+	return Plan{Server: servers[best], Reason: ReasonLeastRequests}, true
 }
 
-func lessInHand(a, b *Server, dataCentre string) bool {
+func lessLoaded(a, b *Server, dataCentre string) bool {
 	if a.Suspect != b.Suspect {
 		return b.Suspect
 	}
--- a/internal/placement/lengthaware.go
+++ b/internal/placement/lengthaware.go
@@ -8,10 +8,10 @@
 
 // Reasons of LengthAware. Their texts are recorded with each placement.
 const (
-	ReasonPacked  Reason = "packed beside short ones"
-	ReasonSoonest Reason = "soonest"
-	ReasonApart   Reason = "apart from tight pauses"
-	ReasonSpread  Reason = "memory of several servers"
+	ReasonPacked       Reason = "packed beside short ones"
+	ReasonSoonest      Reason = "soonest"
+	ReasonIsolated     Reason = "apart from tight pauses"
+	ReasonSpreadMemory Reason = "memory of several servers"
 )
 
 // MaxParts is the maximum number of servers that prefill one prompt: the one that decodes the
@@ -20,11 +20,11 @@
 
 // maxMemoryServers is the maximum number of servers that prefill one prompt with memory reserved at
 // several of them. The decode server is then listed to the engine with its helpers.
-const maxShares = 16
+const maxMemoryServers = 16
 
 // spareMemoryTokens is the KV memory kept free at a server where memory is reserved, since its
 // known free memory is not exact.
-const spareTokens = 4000
+const spareMemoryTokens = 4000
 
 // LengthAware places long prompts where the value of serving them in time most exceeds the cost to
 // other streams, whose inter-token latency grows during the prefill. It compares all numbers of
@@ -45,11 +45,11 @@
 // Place implements Policy.
 func (lengthaware LengthAware) Place(servers []Server, request Request) (Plan, bool) {
 	if request.Engine == nil {
-		return LeastInHand{}.Place(servers, request)
+		return LeastRequests{}.Place(servers, request)
 	}
 	healthy := withoutSuspects(servers)
-	if request.Tight() {
-		return lengthaware.placeTight(healthy, request)
+	if request.Packable() {
+		return lengthaware.placePackable(healthy, request)
 	}
 	return lengthaware.placeLong(healthy, request)
 }
@@ -74,28 +74,28 @@
 // prompts that it prefills, so a prompt sent early delays the others. So a prompt stays queued
 // while no worthwhile plan exists and its caller waits long enough.
 func (lengthaware LengthAware) placeLong(servers []Server, request Request) (Plan, bool) {
-	available := lengthaware.withRoom(servers)
-	unpacked := lengthaware.withRoom(servers[lengthaware.keep(servers, request):])
+	available := lengthaware.withinBacklogLimit(servers)
+	unpacked := lengthaware.withinBacklogLimit(servers[lengthaware.packedCount(servers, request):])
 	for _, eligible := range [][]Server{unpacked, available} {
-		plan, gain, ok := lengthaware.bestLong(eligible, request)
-		if ok && lengthaware.good(gain, request) {
+		plan, gain, ok := lengthaware.bestLongPlan(eligible, request)
+		if ok && lengthaware.worthwhile(gain, request) {
 			return plan, true
 		}
 	}
 	maxDelay := time.Duration(lengthaware.settings.Patience * float64(request.Objective))
-	if request.Left >= -maxDelay && request.Stays >= lengthaware.settings.StaySpare {
+	if request.TimeToObjective >= -maxDelay && request.TimeToCallerDeadline >= lengthaware.settings.StaySpare {
 		return Plan{}, false
 	}
 	// A request that has been queued long enough may go to any server, but never where the cost
 	// exceeds its value. A first event after the caller's deadline has no value.
-	plan, gain, ok := lengthaware.bestLong(servers, request)
+	plan, gain, ok := lengthaware.bestLongPlan(servers, request)
 	return plan, ok && gain > 0
 }
 
 // worthwhile reports whether to accept a plan with the given gain now. A request that can still
 // meet its objective waits for a better plan; a late one accepts any plan with a positive gain.
-func (lengthaware LengthAware) good(gain float64, request Request) bool {
-	if request.Left < 0 {
+func (lengthaware LengthAware) worthwhile(gain float64, request Request) bool {
+	if request.TimeToObjective < 0 {
 		return gain > 0
 	}
 	return gain > lengthaware.settings.GoodGain*Weight(request.Memory)
@@ -103,14 +103,14 @@
 
 // bestLongPlan returns the plan with the highest gain over the given servers, its gain, and whether
 // there is one.
-func (lengthaware LengthAware) bestLong(servers []Server, request Request) (Plan, float64, bool) {
+func (lengthaware LengthAware) bestLongPlan(servers []Server, request Request) (Plan, float64, bool) {
 	prefill := request.Engine.ReadTime(request.Tokens)
-	maxParts := min(lengthaware.settings.MaxParts, len(servers), max(1, int(prefill/passes(request.Engine, lengthaware.settings.PartPasses))))
+	maxParts := min(lengthaware.settings.MaxParts, len(servers), max(1, int(prefill/decodePasses(request.Engine, lengthaware.settings.PartPasses))))
 	best, bestGain, found := Plan{}, 0.0, false
 	buffer := make([]candidate, 0, len(servers))
 	for parts := 1; parts <= maxParts; parts++ {
 		part := prefill / time.Duration(parts)
-		plan, cost, ok := choose(lengthaware.harms(buffer, servers, request, part), request, part, parts)
+		plan, cost, ok := planForParts(lengthaware.costs(buffer, servers, request, part), request, part, parts)
 		if !ok {
 			continue
 		}
@@ -124,11 +124,11 @@
 
 // withinBacklogLimit returns the servers whose prefill backlog allows another part of a long
 // prompt.
-func (lengthaware LengthAware) withRoom(servers []Server) []Server {
+func (lengthaware LengthAware) withinBacklogLimit(servers []Server) []Server {
 	available := make([]Server, 0, len(servers))
 	for _, server := range servers {
 		limit := lengthaware.settings.Room
-		if server.ReadsLong {
+		if server.PrefillsLong {
 			limit = lengthaware.settings.LongRoom
 		}
 		if server.Backlog <= limit {
@@ -143,44 +143,44 @@
 func (lengthaware LengthAware) gain(plan Plan, request Request) float64 {
 	value := Weight(request.Memory)
 	switch {
-	case plan.Predicted > request.Stays:
+	case plan.PredictedTTFT > request.TimeToCallerDeadline:
 		return 0
-	case plan.Predicted > time.Duration(lengthaware.settings.AimPart*float64(request.Left)):
+	case plan.PredictedTTFT > time.Duration(lengthaware.settings.AimPart*float64(request.TimeToObjective)):
 		return lengthaware.settings.LatePart * value
 	}
-	risk := float64(plan.Predicted) / float64(request.Left)
+	risk := float64(plan.PredictedTTFT) / float64(request.TimeToObjective)
 	return value * (1 - lengthaware.settings.RiskPart*risk)
 }
 
 // planForParts returns the plan over the servers with the lowest cost, and its total cost. One of
 // the servers decodes the answer. It reports false when the servers are too few or have too little
 // memory.
-func choose(costs []candidate, request Request, part time.Duration, parts int) (Plan, float64, bool) {
+func planForParts(costs []candidate, request Request, part time.Duration, parts int) (Plan, float64, bool) {
 	if len(costs) < parts {
 		return Plan{}, 0, false
 	}
-	prefillServers := leastHarmed(costs, parts)
-	decodeServer, fitsOne := writerAmong(costs, prefillServers, request)
+	prefillServers := lowestCost(costs, parts)
+	decodeServer, fitsOne := chooseDecodeServer(costs, prefillServers, request)
 	if fitsOne {
-		prefillServers = withWriter(prefillServers, decodeServer)
+		prefillServers = withDecodeServer(prefillServers, decodeServer)
 	}
 	cost := 0.0
 	chosen := make([]Server, 0, parts)
 	longestBacklog := time.Duration(0)
 	for _, server := range prefillServers {
-		cost += server.harm
+		cost += server.cost
 		chosen = append(chosen, *server.Server)
 		longestBacklog = max(longestBacklog, server.Backlog)
 	}
-	plan := Plan{Reason: ReasonApart, Part: part, Predicted: longestBacklog + part + request.Engine.PassTime(0, 0)}
+	plan := Plan{Reason: ReasonIsolated, PrefillPerServer: part, PredictedTTFT: longestBacklog + part + request.Engine.PassTime(0, 0)}
 	if !fitsOne {
 		slices.SortStableFunc(chosen, func(a, b Server) int { return cmp.Compare(b.MemoryFree, a.MemoryFree) })
-		shares, ok := share(chosen, request)
-		if !ok || parts > maxShares {
+		shares, ok := splitMemory(chosen, request)
+		if !ok || parts > maxMemoryServers {
 			return Plan{}, 0, false
 		}
-		plan.Shares = shares
-		plan.Reason = ReasonSpread
+		plan.MemoryShares = shares
+		plan.Reason = ReasonSpreadMemory
 	}
 	plan.Server = chosen[0]
 	plan.Helpers = chosen[1:]
@@ -189,7 +189,7 @@
 
 // withDecodeServer returns the same number of servers with the decode server first. It replaces the
 // last one if the decode server is not among them.
-func withWriter(prefillServers []candidate, decodeServer candidate) []candidate {
+func withDecodeServer(prefillServers []candidate, decodeServer candidate) []candidate {
 	others := slices.DeleteFunc(slices.Clone(prefillServers), func(server candidate) bool { return server.index == decodeServer.index })
 	return append([]candidate{decodeServer}, others[:len(prefillServers)-1]...)
 }
@@ -200,14 +200,14 @@
 // suffices. This leaves servers with their whole memory to long prompts, and servers without
 // streams, where long parts delay none. If none of those servers has enough memory it takes the
 // lowest-cost server that has. It reports false when no server has enough memory.
-func writerAmong(costs, prefillServers []candidate, request Request) (candidate, bool) {
+func chooseDecodeServer(costs, prefillServers []candidate, request Request) (candidate, bool) {
 	last := prefillServers[len(prefillServers)-1]
 	var best, lowest candidate
 	for _, server := range costs {
 		switch {
-		case !server.writes(request):
+		case !server.canDecode(request):
 		case !server.worse(last):
-			if best.Server == nil || closer(server, best) {
+			if best.Server == nil || betterDecodeServer(server, best) {
 				best = server
 			}
 		case server.compare(last) > 0 && (lowest.Server == nil || server.compare(lowest) < 0):
@@ -221,6 +221,6 @@
 }
 
 // betterDecodeServer reports whether a is the better decode server of the two.
-func closer(a, b candidate) bool {
-	return cmp.Or(cmp.Compare(a.Tight, b.Tight), cmp.Compare(a.MemoryFree, b.MemoryFree), a.compare(b)) < 0
+func betterDecodeServer(a, b candidate) bool {
+	return cmp.Or(cmp.Compare(a.Packable, b.Packable), cmp.Compare(a.MemoryFree, b.MemoryFree), a.compare(b)) < 0
 }
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -2,7 +2,7 @@
 
 // canDecode reports whether a server has a free slot, and enough free memory to decode the answer
 // by itself.
-func (server *Server) writes(request Request) bool {
+func (server *Server) canDecode(request Request) bool {
 	return server.MemoryFree >= request.Memory && server.Running < server.Slots
 }
 
@@ -10,11 +10,11 @@
 // possible, and returns the tokens at each. The first server also needs memory for the answer. It
 // reports false when the servers have too little memory together, or the first one has no free slot
 // or no memory.
-func share(ordered []Server, request Request) ([]int, bool) {
+func splitMemory(ordered []Server, request Request) ([]int, bool) {
 	shares := make([]int, len(ordered))
 	remaining := request.Tokens
 	for i := range ordered {
-		usable := ordered[i].MemoryFree - spareTokens
+		usable := ordered[i].MemoryFree - spareMemoryTokens
 		if i == 0 {
 			usable -= request.Memory - request.Tokens
 		}
--- a/internal/placement/packable.go
+++ b/internal/placement/packable.go
@@ -15,10 +15,10 @@
 // inter-token objectives would be missed on all of these, it chooses the first other server that
 // meets them, and then the least busy of all servers. The request stays queued while the only
 // servers with a free slot have a long prefill backlog.
-func (lengthaware LengthAware) placeTight(servers []Server, request Request) (Plan, bool) {
+func (lengthaware LengthAware) placePackable(servers []Server, request Request) (Plan, bool) {
 	prefill := request.Engine.ReadTime(request.Tokens)
 	reason := ReasonPacked
-	packed := lengthaware.keep(servers, request)
+	packed := lengthaware.packedCount(servers, request)
 	best, fits, ok := lengthaware.leastBusy(servers[:packed], request, prefill)
 	if !fits {
 		best, fits = lengthaware.firstFit(servers[packed:], request, prefill)
@@ -29,11 +29,11 @@
 		best, _, ok = lengthaware.leastBusy(servers, request, prefill)
 	}
 	plan := Plan{
-		Server: best, Part: prefill, Tight: true, Reason: reason,
-		Predicted: best.Backlog + prefill + request.Engine.PassTime(0, 0),
+		Server: best, PrefillPerServer: prefill, Packable: true, Reason: reason,
+		PredictedTTFT: best.Backlog + prefill + request.Engine.PassTime(0, 0),
 	}
 	// A slot at another server is freed sooner than this server finishes its prefill.
-	queued := !fits && plan.Predicted > max(request.Left, lengthaware.settings.TightHold)
+	queued := !fits && plan.PredictedTTFT > max(request.TimeToObjective, lengthaware.settings.TightHold)
 	return plan, ok && !queued
 }
 
@@ -47,10 +47,10 @@
 	eligible := make([]*Server, 0, len(servers))
 	for i := range servers {
 		server := &servers[i]
-		if !server.writes(request) {
+		if !server.canDecode(request) {
 			continue
 		}
-		fits := lengthaware.keepsPauses(server, request, prefill)
+		fits := lengthaware.meetsInterTokenObjectives(server, request, prefill)
 		if fits && !bestFits {
 			bestFits = true
 			eligible = eligible[:0]
@@ -62,10 +62,10 @@
 	if len(eligible) == 0 {
 		return Server{}, false, false
 	}
-	near := passes(request.Engine, lengthaware.settings.NearPasses)
-	leastLoaded := slices.MinFunc(eligible, compareBusy(near))
-	eligible = slices.DeleteFunc(eligible, func(server *Server) bool { return !lengthaware.alike(server, leastLoaded, near) })
-	return *anyOf(preferConnected(eligible), request.Seed), bestFits, true
+	near := decodePasses(request.Engine, lengthaware.settings.NearPasses)
+	leastLoaded := slices.MinFunc(eligible, compareLoad(near))
+	eligible = slices.DeleteFunc(eligible, func(server *Server) bool { return !lengthaware.nearlyEqual(server, leastLoaded, near) })
+	return *chooseBySeed(preferConnected(eligible), request.Seed), bestFits, true
 }
 
 // firstFit returns the first of the servers, in their order, where the request meets all
@@ -75,7 +75,7 @@
 func (lengthaware LengthAware) firstFit(servers []Server, request Request, prefill time.Duration) (best Server, found bool) {
 	for i := range servers {
 		server := &servers[i]
-		if server.writes(request) && !server.ReadsLong && lengthaware.keepsPauses(server, request, prefill) {
+		if server.canDecode(request) && !server.PrefillsLong && lengthaware.meetsInterTokenObjectives(server, request, prefill) {
 			return *server, true
 		}
 	}
@@ -98,24 +98,24 @@
 
 // chooseBySeed returns one of the servers by rendezvous hashing: the same seed mostly returns the
 // same server, whatever other servers are in the list.
-func anyOf(servers []*Server, seed uint64) *Server {
+func chooseBySeed(servers []*Server, seed uint64) *Server {
 	return slices.MaxFunc(servers, func(a, b *Server) int {
-		return cmp.Compare(weight(seed, a), weight(seed, b))
+		return cmp.Compare(rendezvousWeight(seed, a), rendezvousWeight(seed, b))
 	})
 }
 
 // rendezvousWeight hashes a seed and a server to a weight.
-func weight(seed uint64, server *Server) uint64 {
+func rendezvousWeight(seed uint64, server *Server) uint64 {
 	return xxhash.Sum64String(strconv.FormatUint(seed, 16) + server.ID) //nolint:mnd // base 16
 }
 
 // nearlyEqual reports whether a server is as good for a packable request as the least busy one.
-func (lengthaware LengthAware) alike(server, leastLoaded *Server, near time.Duration) bool {
+func (lengthaware LengthAware) nearlyEqual(server, leastLoaded *Server, near time.Duration) bool {
 	return server.Backlog/near == leastLoaded.Backlog/near && server.Running <= leastLoaded.Running+lengthaware.settings.NearRunning
 }
 
 // compareLoad orders servers by prefill backlog in units of near, then by running requests.
-func compareBusy(near time.Duration) func(a, b *Server) int {
+func compareLoad(near time.Duration) func(a, b *Server) int {
 	return func(a, b *Server) int {
 		return cmp.Or(cmp.Compare(a.Backlog/near, b.Backlog/near), cmp.Compare(a.Running, b.Running))
 	}
@@ -125,21 +125,21 @@
 // as many as the running ones fill to PackSlots, and KeepSpare more. While long prompts are queued
 // or being prefilled, servers are left to them, down to as many as packable requests fill to
 // PackDense.
-func (lengthaware LengthAware) keep(servers []Server, request Request) int {
+func (lengthaware LengthAware) packedCount(servers []Server, request Request) int {
 	settings := lengthaware.settings
-	sparse := filled(servers, settings.PackSlots) + settings.KeepSpare
-	dense := filled(servers, settings.PackDense)
-	wantedByLong := int(longWork(servers, request) / settings.LongTime)
+	sparse := filledCount(servers, settings.PackSlots) + settings.KeepSpare
+	dense := filledCount(servers, settings.PackDense)
+	wantedByLong := int(longPrefill(servers, request) / settings.LongTime)
 	count := max(dense, min(sparse, len(servers)-wantedByLong))
 	return min(count, max(1, len(servers)-settings.LeaveLong), len(servers))
 }
 
 // filledCount returns how many servers the running packable requests fill, if each server is filled
 // to the given fraction of its slots.
-func filled(servers []Server, fraction float64) int {
+func filledCount(servers []Server, fraction float64) int {
 	packable, slots := 0, 0
 	for i := range servers {
-		packable += servers[i].Tight
+		packable += servers[i].Packable
 		slots = max(slots, servers[i].Slots)
 	}
 	perServer := max(1, int(fraction*float64(slots)))
@@ -147,10 +147,10 @@
 }
 
 // longPrefill returns the prefill time of the long prompts that are queued or being prefilled.
-func longWork(servers []Server, request Request) time.Duration {
-	prefill := request.Waiting
+func longPrefill(servers []Server, request Request) time.Duration {
+	prefill := request.QueuedPrefill
 	for i := range servers {
-		if servers[i].ReadsLong {
+		if servers[i].PrefillsLong {
 			prefill += servers[i].Backlog
 		}
 	}
@@ -159,7 +159,7 @@
 
 // decodePasses returns the time of count forward passes of an engine that decodes for one request
 // and prefills nothing. It is at least 1 ms.
-func passes(engine *catalog.Engine, count float64) time.Duration {
+func decodePasses(engine *catalog.Engine, count float64) time.Duration {
 	return max(time.Millisecond, time.Duration(count*float64(engine.PassTime(1, 0))))
 }
 
@@ -173,7 +173,7 @@
 
 // meetsInterTokenObjectives reports whether all streams at a server, and the request itself if
 // decoded there, meet their inter-token objectives while the server prefills a part of the request.
-func (lengthaware LengthAware) keepsPauses(server *Server, request Request, part time.Duration) bool {
+func (lengthaware LengthAware) meetsInterTokenObjectives(server *Server, request Request, part time.Duration) bool {
 	pass := lengthaware.pass(server, request, part)
-	return pass < request.Gap && (server.MinGap == 0 || pass < server.MinGap)
+	return pass < request.InterTokenObjective && (server.MinInterTokenObjective == 0 || pass < server.MinInterTokenObjective)
 }
--- a/internal/placement/packable_test.go
+++ b/internal/placement/packable_test.go
@@ -30,15 +30,15 @@
 			servers := newServers(18, func(i int, server *placement.Server) {
 				switch {
 				case i < 10:
-					server.Running, server.Tight = 13, 13
+					server.Running, server.Packable = 13, 13
 				case i < 13:
-					server.Running, server.Tight = 2, 2
+					server.Running, server.Packable = 2, 2
 				default:
-					server.ReadsLong, server.Backlog = test.reading > 0, test.reading
+					server.PrefillsLong, server.Backlog = test.reading > 0, test.reading
 				}
 			})
 			request := short()
-			request.Waiting = test.waiting
+			request.QueuedPrefill = test.waiting
 			plan, ok := placement.New(placement.DefaultSettings()).Place(servers, request)
 			assert.Assert(t, ok)
 			assert.Equal(t, plan.Server.ID < "s10", test.wantDense, "%s", plan.Server.ID)
@@ -51,17 +51,17 @@
 // of one second runs at each of two servers, and a late prompt would occupy one of these for 5 s.
 func TestPartNeverExceedsStreamTimeout(t *testing.T) {
 	servers := newServers(2, func(_ int, server *placement.Server) {
-		server.Running, server.LooseWeight = 1, 1
-		server.LooseGap, server.MinGap = time.Second, time.Second
+		server.Running, server.OtherWeight = 1, 1
+		server.OtherInterTokenObjective, server.MinInterTokenObjective = time.Second, time.Second
 	})
 	request := lateLong(230_000)
-	request.Left, request.Stays = -time.Second, 9*time.Second
+	request.TimeToObjective, request.TimeToCallerDeadline = -time.Second, 9*time.Second
 	settings := placement.DefaultSettings()
 	settings.MaxParts = 1
 	_, ok := placement.New(settings).Place(servers, request)
 	assert.Assert(t, ok, "the value of the request exceeds the cost to the stream")
 	streamTimeout := func(gap time.Duration) time.Duration { return 4 * gap }
-	_, ok = placement.New(settings.WithSilence(streamTimeout)).Place(servers, request)
+	_, ok = placement.New(settings.WithStreamTimeout(streamTimeout)).Place(servers, request)
 	assert.Assert(t, !ok)
 }
 
@@ -72,23 +72,23 @@
 	const objective = 250 * time.Millisecond
 	servers := newServers(18, func(i int, server *placement.Server) {
 		if i < 2 {
-			server.Running, server.Tight, server.TightWeight = 8, 8, 12
-			server.TightGap, server.MinGap, server.Backlog = objective, objective, 180*time.Millisecond
+			server.Running, server.Packable, server.PackableWeight = 8, 8, 12
+			server.PackableInterTokenObjective, server.MinInterTokenObjective, server.Backlog = objective, objective, 180*time.Millisecond
 		}
-		server.ReadsLong = i == 2
+		server.PrefillsLong = i == 2
 	})
 	counts := make(map[string]int)
 	for seed := range uint64(10) {
 		request := short()
-		request.Seed, request.Waiting = seed, 20*time.Second
+		request.Seed, request.QueuedPrefill = seed, 20*time.Second
 		plan, ok := placement.New(placement.DefaultSettings()).Place(servers, request)
 		assert.Assert(t, ok)
 		counts[plan.Server.ID]++
 		for i := range servers {
 			if servers[i].ID == plan.Server.ID {
-				servers[i].Backlog += plan.Part
+				servers[i].Backlog += plan.PrefillPerServer
 				servers[i].Running++
-				servers[i].TightGap, servers[i].MinGap = objective, objective
+				servers[i].PackableInterTokenObjective, servers[i].MinInterTokenObjective = objective, objective
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 func TestShortPromptsLeaveServersToLongOnes(t *testing.T) {
 	servers := newServers(18, func(i int, server *placement.Server) {
 		if i < 6 {
-			server.Running, server.Tight, server.TightWeight, server.TightGap = 12, 12, 18, 250*time.Millisecond
+			server.Running, server.Packable, server.PackableWeight, server.PackableInterTokenObjective = 12, 12, 18, 250*time.Millisecond
 		}
 	})
 	plan, ok := placement.New(placement.DefaultSettings()).Place(servers, long(230_000))
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -23,7 +23,7 @@
 	request.Engine.PerThousand = 4310 * time.Nanosecond
 	for parts := 1; parts <= 8; parts++ {
 		servers := newServers(parts, func(_ int, server *placement.Server) {
-			server.Running, server.LooseWeight, server.LooseGap, server.MinGap = 3, 16, gap, gap
+			server.Running, server.OtherWeight, server.OtherInterTokenObjective, server.MinInterTokenObjective = 3, 16, gap, gap
 			server.MemoryFree = memoryTokens - context
 		})
 		servers = append(servers, newServers(1, func(_ int, server *placement.Server) { server.ID = "decode" })...)
@@ -31,7 +31,7 @@
 		if !ok {
 			continue
 		}
-		pass := request.Engine.PassTime(3, context) + plan.Part
+		pass := request.Engine.PassTime(3, context) + plan.PrefillPerServer
 		beside := len(plan.Helpers) > 0
 		assert.Assert(t, !beside || pass <= gap, "%d servers: a pass of %s", parts, pass)
 	}
@@ -49,7 +49,7 @@
 		assert.Assert(t, ok)
 		return plan.Server.ID
 	}
-	servers := newServers(12, func(_ int, server *placement.Server) { server.Running, server.Tight = 11, 11 })
+	servers := newServers(12, func(_ int, server *placement.Server) { server.Running, server.Packable = 11, 11 })
 	counts := make(map[string]int)
 	for seed := range uint64(200) {
 		first := chosen(servers, seed)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -16,22 +16,22 @@
 	// Packable is the number of running requests that are packable (see Request.Packable),
 	// PackableWeight their total weight, and PackableInterTokenObjective the shortest inter-token
 	// objective among them, or zero when there is none.
-	Tight       int
-	TightWeight float64
-	TightGap    time.Duration
+	Packable                    int
+	PackableWeight              float64
+	PackableInterTokenObjective time.Duration
 	// OtherWeight is the total weight of the other running requests, and OtherInterTokenObjective
 	// the shortest inter-token objective among them, or zero when there is none.
-	LooseWeight float64
-	LooseGap    time.Duration
+	OtherWeight              float64
+	OtherInterTokenObjective time.Duration
 	// Backlog is the prefill time of the prompts, or parts of them, that are in flight there and
 	// not prefilled yet.
 	Backlog time.Duration
 	// PrefillsLong reports that the server is prefilling a prompt, or a part of one, of a request
 	// that is not packable.
-	ReadsLong bool
+	PrefillsLong bool
 	// MinInterTokenObjective is the shortest inter-token objective among all running requests, or
 	// zero when there is none.
-	MinGap time.Duration
+	MinInterTokenObjective time.Duration
 	// MemoryFree is the KV memory, in tokens, that no running request will need. It may be
 	// negative.
 	MemoryFree int
@@ -39,7 +39,7 @@
 	Suspect bool
 	// RateLimited reports that the server advertises a request rate limit, or did until a moment
 	// ago.
-	Limited bool
+	RateLimited bool
 	// Connected reports that this VM has an open connection to the server, so that no new one is
 	// needed.
 	Connected bool
@@ -62,21 +62,21 @@
 	// Helpers prefill parts of the prompt.
 	Helpers []Server
 	// PrefillPerServer is the prefill time at each of the servers.
-	Part time.Duration
+	PrefillPerServer time.Duration
 	// MemoryShares is the KV memory to reserve at each server, in tokens, starting with Server. It
 	// is zero for servers that only prefill. It is nil when the free memory of Server is enough.
-	Shares []int
+	MemoryShares []int
 	// PredictedTTFT is the predicted time to first token, from now.
-	Predicted time.Duration
+	PredictedTTFT time.Duration
 	// Packable reports that the request is packable (see Request.Packable).
-	Tight bool
+	Packable bool
 	// Reason names the rule that made the decision.
 	Reason Reason
 }
 
 // ServerIDAt returns the ID of the helper with the given address, or the ID of Server if no helper
 // has it.
-func (plan Plan) Named(address string) string {
+func (plan Plan) ServerIDAt(address string) string {
 	for _, helper := range plan.Helpers {
 		if helper.Address == address {
 			return helper.ID
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -45,22 +45,22 @@
 
 func short() placement.Request {
 	return placement.Request{
-		Engine: newEngine(), Tokens: 5000, Memory: 6000, Gap: 250 * time.Millisecond,
-		Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond, Stays: 2 * time.Second,
+		Engine: newEngine(), Tokens: 5000, Memory: 6000, InterTokenObjective: 250 * time.Millisecond,
+		Objective: 300 * time.Millisecond, TimeToObjective: 300 * time.Millisecond, TimeToCallerDeadline: 2 * time.Second,
 	}
 }
 
 func long(tokens int) placement.Request {
 	return placement.Request{
-		Engine: newEngine(), Tokens: tokens, Memory: tokens + 1000, Gap: time.Second, ShortestGap: 250 * time.Millisecond,
-		Objective: 2500 * time.Millisecond, Left: 2500 * time.Millisecond, Stays: 10 * time.Second,
+		Engine: newEngine(), Tokens: tokens, Memory: tokens + 1000, InterTokenObjective: time.Second, ShortestInterTokenObjective: 250 * time.Millisecond,
+		Objective: 2500 * time.Millisecond, TimeToObjective: 2500 * time.Millisecond, TimeToCallerDeadline: 10 * time.Second,
 	}
 }
 
 // lateLong is a long prompt that missed its objective and whose caller's deadline is near.
 func lateLong(tokens int) placement.Request {
 	request := long(tokens)
-	request.Left, request.Stays = -7*time.Second, 2500*time.Millisecond
+	request.TimeToObjective, request.TimeToCallerDeadline = -7*time.Second, 2500*time.Millisecond
 	return request
 }
 
@@ -79,7 +79,7 @@
 		"a short prompt avoids a server with a long prefill backlog": {
 			servers: newServers(18, func(i int, server *placement.Server) {
 				if i == 0 {
-					server.Backlog, server.ReadsLong = time.Second, true
+					server.Backlog, server.PrefillsLong = time.Second, true
 				}
 			}), request: short(),
 			check: func(t *testing.T, plan placement.Plan) { assert.Assert(t, plan.Server.ID != "s00") },
@@ -87,7 +87,7 @@
 		"short prompts use as many servers as they fill": {
 			servers: newServers(18, func(i int, server *placement.Server) {
 				if i < 2 {
-					server.Running, server.Tight = 9, 9
+					server.Running, server.Packable = 9, 9
 				}
 			}), request: short(),
 			check: func(t *testing.T, plan placement.Plan) { assert.Equal(t, plan.Server.ID, "s02") },
@@ -103,7 +103,7 @@
 			servers: newServers(4, func(i int, server *placement.Server) {
 				server.Running = 16
 				if i == 3 {
-					server.Running, server.Backlog, server.ReadsLong = 1, 2*time.Second, true
+					server.Running, server.Backlog, server.PrefillsLong = 1, 2*time.Second, true
 				}
 			}), request: short(),
 			wantNone: true,
@@ -116,26 +116,26 @@
 			servers: newServers(18, nil), request: long(210_000),
 			check: func(t *testing.T, plan placement.Plan) {
 				assert.Assert(t, len(plan.Helpers) > 0)
-				assert.Assert(t, plan.Predicted < 2500*time.Millisecond)
-				assert.Equal(t, len(plan.Shares), 0)
+				assert.Assert(t, plan.PredictedTTFT < 2500*time.Millisecond)
+				assert.Equal(t, len(plan.MemoryShares), 0)
 			},
 		},
 		"a prompt beyond the memory of one server reserves memory at several": {
 			servers: newServers(18, nil), request: long(400_000),
 			check: func(t *testing.T, plan placement.Plan) {
 				total := 0
-				for i, share := range plan.Shares {
+				for i, share := range plan.MemoryShares {
 					total += share
 					assert.Assert(t, share <= memoryTokens, "server %d", i)
 				}
 				assert.Equal(t, total, 400_000)
-				assert.Equal(t, len(plan.Shares), 1+len(plan.Helpers))
+				assert.Equal(t, len(plan.MemoryShares), 1+len(plan.Helpers))
 			},
 		},
 		"a long prompt is queued while its cost exceeds its value": {
 			servers: newServers(6, func(_ int, server *placement.Server) {
-				server.Running, server.Tight, server.TightWeight, server.TightGap = 12, 12, 18, 250*time.Millisecond
-				server.MinGap = 250 * time.Millisecond
+				server.Running, server.Packable, server.PackableWeight, server.PackableInterTokenObjective = 12, 12, 18, 250*time.Millisecond
+				server.MinInterTokenObjective = 250 * time.Millisecond
 			}), request: long(133_000),
 			wantNone: true,
 		},
@@ -143,17 +143,17 @@
 		// long time in the queue, which made these pause for more than a second.
 		"a late long prompt is queued at its cost even when its caller's deadline is near": {
 			servers: newServers(6, func(_ int, server *placement.Server) {
-				server.Running, server.Tight, server.TightWeight, server.TightGap = 12, 12, 18, 250*time.Millisecond
-				server.MinGap = 250 * time.Millisecond
+				server.Running, server.Packable, server.PackableWeight, server.PackableInterTokenObjective = 12, 12, 18, 250*time.Millisecond
+				server.MinInterTokenObjective = 250 * time.Millisecond
 			}), request: lateLong(133_000),
 			wantNone: true,
 		},
 		"a late long prompt goes where it costs no other stream": {
 			servers: newServers(6, func(i int, server *placement.Server) {
-				server.Running, server.Backlog, server.ReadsLong = 1, 200*time.Millisecond, true
+				server.Running, server.Backlog, server.PrefillsLong = 1, 200*time.Millisecond, true
 				if i > 0 {
-					server.Running, server.Tight, server.TightWeight, server.TightGap = 12, 12, 18, 250*time.Millisecond
-					server.MinGap = 250 * time.Millisecond
+					server.Running, server.Packable, server.PackableWeight, server.PackableInterTokenObjective = 12, 12, 18, 250*time.Millisecond
+					server.MinInterTokenObjective = 250 * time.Millisecond
 				}
 			}), request: lateLong(100_000),
 			check: func(t *testing.T, plan placement.Plan) {
@@ -166,7 +166,7 @@
 		"a prompt beyond the memory of one server lists no more servers than engines accept": {
 			servers: newServers(60, nil), request: long(500_000),
 			check: func(t *testing.T, plan placement.Plan) {
-				assert.Assert(t, len(plan.Shares) > 0)
+				assert.Assert(t, len(plan.MemoryShares) > 0)
 				assert.Assert(t, 1+len(plan.Helpers) <= 16, "%d servers", 1+len(plan.Helpers))
 			},
 		},
@@ -175,8 +175,8 @@
 		"the decode server is the one with the least free memory that suffices": {
 			servers: newServers(18, func(i int, server *placement.Server) {
 				if i == 9 {
-					server.Running, server.LooseWeight, server.MemoryFree = 1, 6, 150_000
-					server.LooseGap, server.MinGap = 600*time.Millisecond, 600*time.Millisecond
+					server.Running, server.OtherWeight, server.MemoryFree = 1, 6, 150_000
+					server.OtherInterTokenObjective, server.MinInterTokenObjective = 600*time.Millisecond, 600*time.Millisecond
 				}
 			}), request: long(45_000),
 			check: func(t *testing.T, plan placement.Plan) { assert.Equal(t, plan.Server.ID, "s09") },
@@ -184,8 +184,8 @@
 		"a prompt avoids a server where its prefill breaks an inter-token objective": {
 			servers: newServers(18, func(i int, server *placement.Server) {
 				if i == 9 {
-					server.Running, server.LooseWeight, server.MemoryFree = 1, 6, 150_000
-					server.LooseGap, server.MinGap = 80*time.Millisecond, 80*time.Millisecond
+					server.Running, server.OtherWeight, server.MemoryFree = 1, 6, 150_000
+					server.OtherInterTokenObjective, server.MinInterTokenObjective = 80*time.Millisecond, 80*time.Millisecond
 				}
 			}), request: long(45_000),
 			check: func(t *testing.T, plan placement.Plan) {
@@ -222,10 +222,10 @@
 // all select the same server. With 76 VMs this made the inter-token latency there too high.
 func TestShortPromptsOfSeveralVMsSpread(t *testing.T) {
 	servers := newServers(18, func(i int, server *placement.Server) {
-		server.Running, server.Tight = 6, 6
+		server.Running, server.Packable = 6, 6
 		switch i {
 		case 3:
-			server.Running, server.Tight = 12, 12
+			server.Running, server.Packable = 12, 12
 		case 4:
 			server.Backlog = 90 * time.Millisecond
 		}
@@ -250,10 +250,10 @@
 // servers, but does not make up for a higher load.
 func TestShortPromptPrefersOpenConnections(t *testing.T) {
 	servers := newServers(18, func(i int, server *placement.Server) {
-		server.Running, server.Tight = 2, 2
+		server.Running, server.Packable = 2, 2
 		server.Connected = i == 1 || i == 2
 		if i == 2 {
-			server.Running, server.Tight = 9, 9
+			server.Running, server.Packable = 9, 9
 		}
 	})
 	for seed := range uint64(20) {
@@ -293,12 +293,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			plan, ok := placement.LeastInHand{}.Place(newServers(3, test.change), placement.Request{DataCentre: "north"})
+			plan, ok := placement.LeastRequests{}.Place(newServers(3, test.change), placement.Request{DataCentre: "north"})
 			assert.Assert(t, ok)
 			assert.Equal(t, plan.Server.ID, test.want)
 		})
 	}
-	_, ok := placement.LeastInHand{}.Place(nil, placement.Request{})
+	_, ok := placement.LeastRequests{}.Place(nil, placement.Request{})
 	assert.Assert(t, !ok)
 }
 
@@ -309,22 +309,22 @@
 		servers := newServers(rapid.IntRange(0, 24).Draw(t, "servers"), func(i int, server *placement.Server) {
 			label := fmt.Sprintf("s%d ", i)
 			server.Running = rapid.IntRange(0, 18).Draw(t, label+"running")
-			server.Tight = rapid.IntRange(0, server.Running).Draw(t, label+"tight")
-			server.TightWeight = 1.5 * float64(server.Tight)
-			if server.Tight > 0 {
-				server.TightGap = 250 * time.Millisecond
+			server.Packable = rapid.IntRange(0, server.Running).Draw(t, label+"tight")
+			server.PackableWeight = 1.5 * float64(server.Packable)
+			if server.Packable > 0 {
+				server.PackableInterTokenObjective = 250 * time.Millisecond
 			}
 			server.Backlog = time.Duration(rapid.IntRange(0, 4000).Draw(t, label+"backlog")) * time.Millisecond
 			server.MemoryFree = rapid.IntRange(-10_000, memoryTokens).Draw(t, label+"memory")
 			server.Suspect = rapid.Bool().Draw(t, label+"suspect")
-			server.ReadsLong = rapid.Bool().Draw(t, label+"long")
+			server.PrefillsLong = rapid.Bool().Draw(t, label+"long")
 		})
 		request := long(rapid.IntRange(1, 900_000).Draw(t, "tokens"))
 		if rapid.Bool().Draw(t, "tight") {
-			request.Gap = 250 * time.Millisecond
+			request.InterTokenObjective = 250 * time.Millisecond
 		}
-		request.Left = time.Duration(rapid.IntRange(-9000, 2500).Draw(t, "left")) * time.Millisecond
-		request.Stays = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "stays")) * time.Millisecond
+		request.TimeToObjective = time.Duration(rapid.IntRange(-9000, 2500).Draw(t, "left")) * time.Millisecond
+		request.TimeToCallerDeadline = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "stays")) * time.Millisecond
 		plan, ok := placement.New(placement.DefaultSettings()).Place(servers, request)
 		if !ok {
 			return
@@ -343,7 +343,7 @@
 		seen[server.ID] = true
 	}
 	listed := len(plan.Helpers)
-	if len(plan.Shares) > 0 {
+	if len(plan.MemoryShares) > 0 {
 		listed = len(used)
 	}
 	if listed > 16 {
@@ -352,14 +352,14 @@
 	if plan.Server.Running >= plan.Server.Slots {
 		t.Fatalf("no free slot at %s", plan.Server.ID)
 	}
-	if len(plan.Shares) == 0 {
+	if len(plan.MemoryShares) == 0 {
 		if plan.Server.MemoryFree < request.Memory {
 			t.Fatalf("not enough memory at %s", plan.Server.ID)
 		}
 		return
 	}
 	total := 0
-	for i, share := range plan.Shares {
+	for i, share := range plan.MemoryShares {
 		total += share
 		// A server that only prefills has no memory share, and may have no free memory.
 		if share < 0 || (share > 0 && share > used[i].MemoryFree) {
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -19,16 +19,16 @@
 	// InterTokenObjective is the longest pause between events of the answer that meets the
 	// objective. ShortestInterTokenObjective is the shortest one among all kinds of request to the
 	// service. Zero means none.
-	Gap         time.Duration
-	ShortestGap time.Duration
+	InterTokenObjective         time.Duration
+	ShortestInterTokenObjective time.Duration
 	// Objective is the time within which the first event is due, and TimeToObjective what is left
 	// of it. TimeToObjective is negative when the objective has been missed.
-	Objective time.Duration
-	Left      time.Duration
+	Objective       time.Duration
+	TimeToObjective time.Duration
 	// TimeToCallerDeadline is how long the caller still waits for a first event.
-	Stays time.Duration
+	TimeToCallerDeadline time.Duration
 	// QueuedPrefill is the total prefill time of all long prompts that are queued, of all VMs.
-	Waiting time.Duration
+	QueuedPrefill time.Duration
 	// Seed selects among servers that are equally good. Equal seeds mostly select the same server.
 	Seed uint64
 }
@@ -41,13 +41,13 @@
 // The shortest objective of the service counts, not only the request's own: with inter-token
 // objectives of 200 and 350 ms, and prompts of 40 k tokens in the second class, prefilling such a
 // prompt takes longer than 200 ms.
-func (request Request) Tight() bool {
-	if request.Gap == 0 || request.Engine == nil {
+func (request Request) Packable() bool {
+	if request.InterTokenObjective == 0 || request.Engine == nil {
 		return false
 	}
-	objective := request.Gap
-	if request.ShortestGap > 0 {
-		objective = min(objective, request.ShortestGap)
+	objective := request.InterTokenObjective
+	if request.ShortestInterTokenObjective > 0 {
+		objective = min(objective, request.ShortestInterTokenObjective)
 	}
 	engine := request.Engine
 	context := min(engine.Slots*request.Memory, engine.MemoryTokens)
@@ -56,12 +56,12 @@
 
 // MinTTFT returns the shortest possible time from placing a request to its first event. It assumes
 // that as many servers as possible prefill the prompt, or one if the request is packable.
-func (request Request) Least() time.Duration {
+func (request Request) MinTTFT() time.Duration {
 	if request.Engine == nil {
 		return 0
 	}
 	prefill := request.Engine.ReadTime(request.Tokens)
-	if !request.Tight() {
+	if !request.Packable() {
 		prefill /= MaxParts
 	}
 	return prefill + request.Engine.PassTime(0, 0)
--- a/internal/placement/request_test.go
+++ b/internal/placement/request_test.go
@@ -29,8 +29,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := short()
-			request.Tokens, request.Memory, request.Gap, request.ShortestGap = test.tokens, test.tokens+1500, test.gap, test.shortest
-			assert.Equal(t, request.Tight(), test.want)
+			request.Tokens, request.Memory, request.InterTokenObjective, request.ShortestInterTokenObjective = test.tokens, test.tokens+1500, test.gap, test.shortest
+			assert.Equal(t, request.Packable(), test.want)
 		})
 	}
 }
@@ -42,14 +42,14 @@
 func TestMediumPromptsAvoidShortStreams(t *testing.T) {
 	const objective = 200 * time.Millisecond
 	servers := newServers(24, func(_ int, server *placement.Server) {
-		server.Running, server.Tight, server.TightWeight = 5, 5, 7.5
-		server.TightGap, server.MinGap = objective, objective
+		server.Running, server.Packable, server.PackableWeight = 5, 5, 7.5
+		server.PackableInterTokenObjective, server.MinInterTokenObjective = objective, objective
 	})
 	for range 2 {
 		request := short()
 		request.Tokens, request.Memory = 41_000, 42_000
-		request.Gap, request.ShortestGap = 330*time.Millisecond, objective
-		request.Objective, request.Left = 1100*time.Millisecond, 1100*time.Millisecond
+		request.InterTokenObjective, request.ShortestInterTokenObjective = 330*time.Millisecond, objective
+		request.Objective, request.TimeToObjective = 1100*time.Millisecond, 1100*time.Millisecond
 		plan, ok := placement.New(placement.DefaultSettings()).Place(servers, request)
 		assert.Assert(t, ok)
 		for i := range servers {
@@ -61,10 +61,10 @@
 			if !used {
 				continue
 			}
-			server.Backlog += plan.Part
+			server.Backlog += plan.PrefillPerServer
 			pass := request.Engine.PassTime(server.Running, 0) + server.Backlog
-			assert.Assert(t, server.Tight == 0 || pass <= objective, "%d streams at %s pause for %s", server.Tight, server.ID, pass)
-			server.ReadsLong = true
+			assert.Assert(t, server.Packable == 0 || pass <= objective, "%d streams at %s pause for %s", server.Packable, server.ID, pass)
+			server.PrefillsLong = true
 		}
 	}
 }
@@ -78,16 +78,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			servers := newServers(6, func(_ int, server *placement.Server) {
-				server.Running, server.Tight, server.TightWeight = 5, 5, 7.5
-				server.TightGap, server.MinGap = objective, objective
+				server.Running, server.Packable, server.PackableWeight = 5, 5, 7.5
+				server.PackableInterTokenObjective, server.MinInterTokenObjective = objective, objective
 			})
 			request := long(59_000)
-			request.ShortestGap = objective
+			request.ShortestInterTokenObjective = objective
 			plan, ok := placement.New(placement.DefaultSettings()).Place(servers, request)
 			if !ok {
 				return // the request is queued for a server without short streams
 			}
-			pass := request.Engine.PassTime(5, 0) + plan.Part
+			pass := request.Engine.PassTime(5, 0) + plan.PrefillPerServer
 			assert.Assert(t, pass <= objective, "%s", pass)
 		})
 	}
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -60,14 +60,14 @@
 
 	// streamTimeout returns, for an inter-token objective, the pause after which a stream times
 	// out. It is nil when streams never time out.
-	silence func(gap time.Duration) time.Duration
+	streamTimeout func(gap time.Duration) time.Duration
 }
 
 // WithStreamTimeout returns the settings for streams that time out, and are retried at another
 // server, after the pause that streamTimeout returns for their inter-token objective. Nil means
 // that streams never time out.
-func (settings Settings) WithSilence(streamTimeout func(gap time.Duration) time.Duration) Settings {
-	settings.silence = streamTimeout
+func (settings Settings) WithStreamTimeout(streamTimeout func(gap time.Duration) time.Duration) Settings {
+	settings.streamTimeout = streamTimeout
 	return settings
 }
 
--- a/internal/placement/withoutids.go
+++ b/internal/placement/withoutids.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // WithoutIDs returns the servers except those with the given IDs.
-func Without(servers []Server, ids []string) []Server {
+func WithoutIDs(servers []Server, ids []string) []Server {
 	if len(ids) == 0 {
 		return servers
 	}
--- a/internal/pool/active_request.go
+++ b/internal/pool/active_request.go
@@ -157,16 +157,16 @@
 func reports(id uint64, plan placement.Plan, request placement.Request) []Report {
 	list := make([]Report, 0, 1+len(plan.Helpers))
 	list = append(list, Report{
-		Server: plan.Server.ID, Phase: PhaseReading, Work: plan.Part,
-		Memory: request.Memory, Gap: request.Gap, Tight: plan.Tight,
+		Server: plan.Server.ID, Phase: PhaseReading, Work: plan.PrefillPerServer,
+		Memory: request.Memory, Gap: request.InterTokenObjective, Tight: plan.Packable,
 	})
 	for _, helper := range plan.Helpers {
-		list = append(list, Report{Server: helper.ID, Phase: PhaseReading, Work: plan.Part, Helps: true})
+		list = append(list, Report{Server: helper.ID, Phase: PhaseReading, Work: plan.PrefillPerServer, Helps: true})
 	}
 	for i := range list {
 		list[i].ID = id + 1 + uint64(i)
-		if len(plan.Shares) > 0 {
-			list[i].Memory = plan.Shares[i]
+		if len(plan.MemoryShares) > 0 {
+			list[i].Memory = plan.MemoryShares[i]
 		}
 	}
 	return list
--- a/internal/pool/assignment_test.go
+++ b/internal/pool/assignment_test.go
@@ -16,14 +16,14 @@
 func splitPlan() (placement.Plan, placement.Request) {
 	plan := placement.Plan{
 		Server: placement.Server{ID: "a"}, Helpers: []placement.Server{{ID: "b"}},
-		Part: 200 * time.Millisecond, Shares: []int{100_000, 50_000},
+		PrefillPerServer: 200 * time.Millisecond, MemoryShares: []int{100_000, 50_000},
 	}
-	return plan, placement.Request{Engine: engines().Engine, Memory: 150_000, Gap: time.Second}
+	return plan, placement.Request{Engine: engines().Engine, Memory: 150_000, InterTokenObjective: time.Second}
 }
 
 // freeMemory returns the free memory of both servers.
 func (fixture *fixture) freeMemory() (a, b int) {
-	for _, server := range fixture.Open(engines(), nil) {
+	for _, server := range fixture.Available(engines(), nil) {
 		switch server.ID {
 		case "a":
 			a = server.MemoryFree
@@ -41,8 +41,8 @@
 	plan, request := splitPlan()
 	// The other VM's reports when it has sent the request, and when the request has ended.
 	reports := []pool.Report{
-		{ID: id + 1, Server: "a", Phase: pool.PhaseReading, Work: plan.Part, Memory: 100_000},
-		{ID: id + 2, Server: "b", Phase: pool.PhaseReading, Work: plan.Part, Memory: 50_000, Helps: true},
+		{ID: id + 1, Server: "a", Phase: pool.PhaseReading, Work: plan.PrefillPerServer, Memory: 100_000},
+		{ID: id + 2, Server: "b", Phase: pool.PhaseReading, Work: plan.PrefillPerServer, Memory: 50_000, Helps: true},
 	}
 	ended := []pool.Report{{ID: id + 1, Server: "a", Phase: pool.PhaseOver}, {ID: id + 2, Server: "b", Phase: pool.PhaseOver}}
 	tests := map[string]struct {
@@ -126,7 +126,7 @@
 				fixture.Told("vm-2", []pool.Report{report})
 			}
 			found := false
-			for _, server := range fixture.Open(engines(), nil) {
+			for _, server := range fixture.Available(engines(), nil) {
 				if server.ID == "a" {
 					found = true
 					assert.Equal(t, server.Suspect, test.wantSuspect)
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -18,7 +18,7 @@
 	for _, pool := range []*pool.Pool{fixture.Pool, other.Pool} {
 		pool.Replace(listedServers(2))
 	}
-	plan := placement.Plan{Server: placement.Server{ID: "s1"}, Shares: []int{50_000}}
+	plan := placement.Plan{Server: placement.Server{ID: "s1"}, MemoryShares: []int{50_000}}
 	activeRequest := fixture.Start(plan, placement.Request{Memory: 50_000})
 	fixture.NotFree(engines(), "s1", 50_000, 20_000)
 	activeRequest.Over()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -90,7 +90,7 @@
 
 func (fixture *fixture) eligible(tried ...string) []string {
 	var ids []string
-	for _, server := range fixture.Open(engines(), tried) {
+	for _, server := range fixture.Available(engines(), tried) {
 		ids = append(ids, server.ID)
 	}
 	slices.Sort(ids)
@@ -99,7 +99,7 @@
 
 func (fixture *fixture) server(t *testing.T, id string) placement.Server {
 	t.Helper()
-	for _, server := range fixture.Open(engines(), nil) {
+	for _, server := range fixture.Available(engines(), nil) {
 		if server.ID == id {
 			return server
 		}
@@ -198,9 +198,9 @@
 func TestAttemptCountsUntilItEnds(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(2))
-	request := placement.Request{Tokens: 100_000, Memory: 101_000, Gap: time.Second}
+	request := placement.Request{Tokens: 100_000, Memory: 101_000, InterTokenObjective: time.Second}
 	plan := placement.Plan{
-		Server: fixture.server(t, "s1"), Helpers: []placement.Server{fixture.server(t, "s2")}, Part: 400 * time.Millisecond,
+		Server: fixture.server(t, "s1"), Helpers: []placement.Server{fixture.server(t, "s2")}, PrefillPerServer: 400 * time.Millisecond,
 	}
 	activeRequest := fixture.Start(plan, request)
 	fixture.advance(100 * time.Millisecond)
@@ -208,7 +208,7 @@
 	assert.Equal(t, first.Running, 1)
 	assert.Equal(t, first.Backlog, 300*time.Millisecond)
 	assert.Equal(t, first.MemoryFree, memoryTokens-101_000)
-	assert.Equal(t, first.MinGap, time.Second)
+	assert.Equal(t, first.MinInterTokenObjective, time.Second)
 	helper := fixture.server(t, "s2")
 	assert.Equal(t, helper.Running, 0)
 	assert.Equal(t, helper.Backlog, 300*time.Millisecond)
@@ -314,8 +314,8 @@
 		t.Run(name, func(t *testing.T) {
 			fixture := newFixture()
 			fixture.Replace(listedServers(1))
-			plan := placement.Plan{Server: fixture.server(t, "s1"), Part: 30 * time.Millisecond, Tight: true}
-			activeRequest := fixture.Start(plan, placement.Request{Gap: 250 * time.Millisecond})
+			plan := placement.Plan{Server: fixture.server(t, "s1"), PrefillPerServer: 30 * time.Millisecond, Packable: true}
+			activeRequest := fixture.Start(plan, placement.Request{InterTokenObjective: 250 * time.Millisecond})
 			fixture.advance(test.after)
 			if test.prefilled {
 				activeRequest.Read()
@@ -398,16 +398,16 @@
 func TestSnapshotHasShortestGaps(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(1))
-	assert.Equal(t, fixture.server(t, "s1").TightGap, time.Duration(0))
+	assert.Equal(t, fixture.server(t, "s1").PackableInterTokenObjective, time.Duration(0))
 	start := func(gap time.Duration, tight bool) {
-		plan := placement.Plan{Server: placement.Server{ID: "s1"}, Tight: tight}
-		fixture.Start(plan, placement.Request{Gap: gap, Memory: 5000})
+		plan := placement.Plan{Server: placement.Server{ID: "s1"}, Packable: tight}
+		fixture.Start(plan, placement.Request{InterTokenObjective: gap, Memory: 5000})
 	}
 	start(300*time.Millisecond, true)
 	start(120*time.Millisecond, true)
 	start(100*time.Millisecond, false)
 	view := fixture.server(t, "s1")
-	assert.Equal(t, view.TightGap, 120*time.Millisecond)
-	assert.Equal(t, view.LooseGap, 100*time.Millisecond)
-	assert.Equal(t, view.MinGap, 100*time.Millisecond)
+	assert.Equal(t, view.PackableInterTokenObjective, 120*time.Millisecond)
+	assert.Equal(t, view.OtherInterTokenObjective, 100*time.Millisecond)
+	assert.Equal(t, view.MinInterTokenObjective, 100*time.Millisecond)
 }
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -53,24 +53,24 @@
 // memory in use, to which Pool.Eligible adds the engine's total.
 func (server *server) snapshot(now time.Time, settings Settings) placement.Server {
 	snapshot := placement.Server{
-		ID:         server.entry.ID,
-		Address:    server.entry.Address,
-		DataCentre: server.entry.DataCentre,
-		Slots:      server.entry.Slots,
-		Suspect:    server.ejection.Ejected(now),
-		Limited:    server.limit.Named(),
+		ID:          server.entry.ID,
+		Address:     server.entry.Address,
+		DataCentre:  server.entry.DataCentre,
+		Slots:       server.entry.Slots,
+		Suspect:     server.ejection.Ejected(now),
+		RateLimited: server.limit.Named(),
 	}
 	idleAt := server.lastRead
 	overdue := time.Duration(0)
 	for _, attempt := range server.attempts {
 		if !attempt.Helps {
 			snapshot.Running++
-			snapshot.MinGap = shorter(snapshot.MinGap, attempt.Gap)
+			snapshot.MinInterTokenObjective = shorter(snapshot.MinInterTokenObjective, attempt.Gap)
 			addWeight(&snapshot, attempt)
 		}
 		snapshot.MemoryFree -= attempt.Memory
 		if attempt.Phase == PhaseReading {
-			snapshot.ReadsLong = snapshot.ReadsLong || !attempt.Tight
+			snapshot.PrefillsLong = snapshot.PrefillsLong || !attempt.Tight
 			idleAt = later(idleAt, attempt.sentAt).Add(attempt.Work)
 			overdue = max(overdue, now.Sub(idleAt)-settings.overdueAfter(attempt.Work))
 		}
@@ -88,13 +88,13 @@
 func addWeight(snapshot *placement.Server, attempt *attempt) {
 	weight := placement.Weight(attempt.Memory)
 	if attempt.Tight {
-		snapshot.Tight++
-		snapshot.TightWeight += weight
-		snapshot.TightGap = shorter(snapshot.TightGap, attempt.Gap)
+		snapshot.Packable++
+		snapshot.PackableWeight += weight
+		snapshot.PackableInterTokenObjective = shorter(snapshot.PackableInterTokenObjective, attempt.Gap)
 		return
 	}
-	snapshot.LooseWeight += weight
-	snapshot.LooseGap = shorter(snapshot.LooseGap, attempt.Gap)
+	snapshot.OtherWeight += weight
+	snapshot.OtherInterTokenObjective = shorter(snapshot.OtherInterTokenObjective, attempt.Gap)
 }
 
 // pendingPrefill is the total prefill time of the attempts without an event so far.
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -50,7 +50,7 @@
 
 // WithMaxHold returns the settings with Hold limited to maxHold. The renewal interval is shortened in
 // proportion. Zero means no limit.
-func (settings Settings) WithHoldAtMost(maxHold time.Duration) Settings {
+func (settings Settings) WithMaxHold(maxHold time.Duration) Settings {
 	if maxHold <= 0 || settings.Hold <= maxHold {
 		return settings
 	}
@@ -94,15 +94,15 @@
 }
 
 // Claim is the memory to reserve at one engine. Tokens is its size.
-type Want struct {
+type Claim struct {
 	Instance string
 	Address  string
 	Tokens   int
 }
 
 // EngineError reports an engine at which memory could not be reserved.
-type NotFreeError struct {
-	Want
+type EngineError struct {
+	Claim
 
 	// Reply is the engine's reply, unless Err is set. Err is the reason why there is no valid
 	// reply.
@@ -111,7 +111,7 @@
 }
 
 // Error implements error.
-func (e *NotFreeError) Error() string {
+func (e *EngineError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("reserve memory at %s: %v", e.Instance, e.Err)
 	}
@@ -120,17 +120,17 @@
 
 // ReserveError lists all engines at which memory for one prompt could not be reserved. Failures is
 // never empty.
-type GatherError struct {
-	Failures []*NotFreeError
+type ReserveError struct {
+	Failures []*EngineError
 }
 
 // Error implements error.
-func (e *GatherError) Error() string {
+func (e *ReserveError) Error() string {
 	return fmt.Sprintf("memory reservation failed at %d engines, first error: %v", len(e.Failures), e.Failures[0])
 }
 
 // Manager makes reservations. It is safe for concurrent use.
-type Book struct {
+type Manager struct {
 	settings Settings
 	codec    Codec
 	sender   Sender
@@ -145,15 +145,15 @@
 func New(
 	lifetime context.Context, settings Settings, codec Codec, sender Sender,
 	logger *slog.Logger, now func() time.Time,
-) *Book {
-	return &Book{settings: settings, codec: codec, sender: sender, logger: logger, now: now, lifetime: lifetime}
+) *Manager {
+	return &Manager{settings: settings, codec: codec, sender: sender, logger: logger, now: now, lifetime: lifetime}
 }
 
 // Reservation is memory reserved for one prompt at one or more engines.
-type Held struct {
-	manager *Book
+type Reservation struct {
+	manager *Manager
 	ticket  string
-	claims  []Want
+	claims  []Claim
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 
@@ -164,13 +164,13 @@
 
 // Reserve reserves memory at all engines of the claims, or at none, under one ticket, which
 // identifies the reservation at the engines. It returns a *ReserveError if any engine fails.
-func (manager *Book) Gather(ctx context.Context, ticket string, claims []Want) (*Held, error) {
-	reservation := &Held{manager: manager, ticket: ticket, claims: claims, unanswered: make(map[string]time.Time)}
-	replies := make(chan *NotFreeError, len(claims))
+func (manager *Manager) Reserve(ctx context.Context, ticket string, claims []Claim) (*Reservation, error) {
+	reservation := &Reservation{manager: manager, ticket: ticket, claims: claims, unanswered: make(map[string]time.Time)}
+	replies := make(chan *EngineError, len(claims))
 	for _, claim := range claims {
 		go func() { replies <- reservation.reserve(ctx, claim) }()
 	}
-	var failures []*NotFreeError
+	var failures []*EngineError
 	for range claims {
 		if failure := <-replies; failure != nil {
 			failures = append(failures, failure)
@@ -180,19 +180,19 @@
 	reservation.stop = stop
 	if len(failures) > 0 {
 		reservation.Release()
-		return nil, &GatherError{Failures: failures}
+		return nil, &ReserveError{Failures: failures}
 	}
 	reservation.done.Go(func() { reservation.renew(renewing) })
 	return reservation, nil
 }
 
 // Ticket returns the ticket, the ID under which the engines hold the memory.
-func (reservation *Held) Ticket() string {
+func (reservation *Reservation) Ticket() string {
 	return reservation.ticket
 }
 
 // Release releases the memory in the background.
-func (reservation *Held) Release() {
+func (reservation *Reservation) Release() {
 	reservation.stop()
 	go func() {
 		reservation.done.Wait()
@@ -203,7 +203,7 @@
 }
 
 // renew renews the reservation periodically until ctx is done.
-func (reservation *Held) renew(ctx context.Context) {
+func (reservation *Reservation) renew(ctx context.Context) {
 	for wait.For(ctx, reservation.manager.settings.Renew) {
 		for _, claim := range reservation.claims {
 			reservation.done.Go(func() {
@@ -216,29 +216,29 @@
 }
 
 // reserve reserves memory at one engine, or renews it. It returns nil on success.
-func (reservation *Held) reserve(ctx context.Context, claim Want) *NotFreeError {
+func (reservation *Reservation) reserve(ctx context.Context, claim Claim) *EngineError {
 	manager := reservation.manager
 	request := manager.codec.Reserve(claim.Instance, reservation.ticket, claim.Tokens, manager.settings.Hold)
-	reply, answered, err := reservation.order(ctx, claim, request)
+	reply, answered, err := reservation.sendCommand(ctx, claim, request)
 	if !answered {
-		reservation.noteUnanswered(claim)
+		reservation.recordUnanswered(claim)
 	}
 	if err != nil {
-		return &NotFreeError{Want: claim, Err: err}
+		return &EngineError{Claim: claim, Err: err}
 	}
 	if reply.Kind != ReplyDone {
-		return &NotFreeError{Want: claim, Reply: reply}
+		return &EngineError{Claim: claim, Reply: reply}
 	}
 	return nil
 }
 
 // release releases the memory at one engine. It repeats the command while the engine may still
 // execute an earlier reserve command that got no reply, since that would reserve the memory again.
-func (reservation *Held) release(claim Want) {
+func (reservation *Reservation) release(claim Claim) {
 	manager := reservation.manager
 	for {
 		request := manager.codec.Release(claim.Instance, reservation.ticket)
-		_, _, err := reservation.order(manager.lifetime, claim, request)
+		_, _, err := reservation.sendCommand(manager.lifetime, claim, request)
 		reservation.mu.Lock()
 		last, outstanding := reservation.unanswered[claim.Instance]
 		reservation.mu.Unlock()
@@ -256,7 +256,7 @@
 
 // sendCommand sends one command and returns its reply. The boolean is false when the command was
 // sent but got no valid reply, so that the engine may still execute it later.
-func (reservation *Held) order(ctx context.Context, claim Want, request upstream.Request) (Reply, bool, error) {
+func (reservation *Reservation) sendCommand(ctx context.Context, claim Claim, request upstream.Request) (Reply, bool, error) {
 	manager := reservation.manager
 	timeoutCtx, cancel := context.WithTimeout(ctx, manager.settings.OrderTime)
 	defer cancel()
@@ -275,7 +275,7 @@
 }
 
 // recordUnanswered records that the engine may still execute a reserve command.
-func (reservation *Held) noteUnanswered(claim Want) {
+func (reservation *Reservation) recordUnanswered(claim Claim) {
 	reservation.mu.Lock()
 	defer reservation.mu.Unlock()
 	reservation.unanswered[claim.Instance] = reservation.manager.now()
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -96,18 +96,18 @@
 
 // newManager returns a manager, fake engines with the given behaviours, a claim for each engine,
 // and a function that stops everything.
-func newManager(t *testing.T, behaviours ...behaviour) (*reservation.Book, []*engine, []reservation.Want, func()) {
+func newManager(t *testing.T, behaviours ...behaviour) (*reservation.Manager, []*engine, []reservation.Claim, func()) {
 	t.Helper()
 	network := memnet.New()
 	lifetime, end := context.WithCancel(t.Context())
 	var engines []*engine
-	var claims []reservation.Want
+	var claims []reservation.Claim
 	var servers []*http.Server
 	for i, behaviour := range behaviours {
 		engine := &engine{behaviour: behaviour, until: make(map[string]time.Time)}
 		address := fmt.Sprintf("10.0.0.%d:80", i+1)
 		engines = append(engines, engine)
-		claims = append(claims, reservation.Want{Instance: fmt.Sprintf("i-%d", i), Address: address, Tokens: 1000})
+		claims = append(claims, reservation.Claim{Instance: fmt.Sprintf("i-%d", i), Address: address, Tokens: 1000})
 		if behaviour == unreachable {
 			continue
 		}
@@ -145,7 +145,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				manager, engines, claims, end := newManager(t, test.behaviours...)
 				defer end()
-				reserved, err := manager.Gather(t.Context(), testTicket, claims)
+				reserved, err := manager.Reserve(t.Context(), testTicket, claims)
 				if test.wantErr != "" {
 					assert.ErrorContains(t, err, test.wantErr)
 					time.Sleep(time.Second)
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		manager, engines, claims, end := newManager(t, normal, normal)
 		defer end()
-		reserved, err := manager.Gather(t.Context(), testTicket, claims)
+		reserved, err := manager.Reserve(t.Context(), testTicket, claims)
 		assert.NilError(t, err)
 		engines[1].setBehaviour(late)
 		time.Sleep(2 * time.Second)
@@ -198,7 +198,7 @@
 func TestStoppedVMLeaksNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		manager, engines, claims, end := newManager(t, normal, normal)
-		_, err := manager.Gather(t.Context(), testTicket, claims)
+		_, err := manager.Reserve(t.Context(), testTicket, claims)
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, engines[0].holds())
@@ -216,7 +216,7 @@
 		20 * time.Second: {Hold: 3 * time.Second, Renew: time.Second},
 		time.Second:      {Hold: time.Second, Renew: time.Second / 3},
 	} {
-		assert.DeepEqual(t, settings.WithHoldAtMost(most), want)
+		assert.DeepEqual(t, settings.WithMaxHold(most), want)
 	}
 }
 
