--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -32,9 +32,9 @@
 // Servers gives access to the state of the backend servers as known to this VM. It is safe for
 // concurrent use. Methods without a comment work like those of dispatch.Servers.
 type Servers interface {
-	Available(service *catalog.Service, tried []string) []placement.Server
-	BackedOff(vm string) []string
-	RateLimit(service string, allowedDataCentres []string, vm string) (float64, bool)
+	Eligible(service *catalog.Service, tried []string) []placement.Server
+	BackoffServers(vm string) []string
+	AcceptedRate(service string, allowedDataCentres []string, vm string) (float64, bool)
 	AllEvacuated(service string, allowedDataCentres []string) bool
 	// Assign records that the servers of a plan are assigned to a request of a VM.
 	Assign(vm string, id uint64, plan placement.Plan, request placement.Request)
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -209,23 +209,23 @@
 
 var _ dispatch.Servers = (*adapter)(nil)
 
-// Available implements dispatch.Servers.
-func (adapter *adapter) Available(service string) []placement.Server {
+// Eligible implements dispatch.Servers.
+func (adapter *adapter) Eligible(service string) []placement.Server {
 	catalogService, found := adapter.services(service)
 	if !found {
 		return nil
 	}
-	return adapter.servers.Available(catalogService, nil)
+	return adapter.servers.Eligible(catalogService, nil)
 }
 
-// BackedOff implements dispatch.Servers.
-func (adapter *adapter) BackedOff(vm string) []string {
-	return adapter.servers.BackedOff(vm)
+// BackoffServers implements dispatch.Servers.
+func (adapter *adapter) BackoffServers(vm string) []string {
+	return adapter.servers.BackoffServers(vm)
 }
 
-// RateLimit implements dispatch.Servers.
-func (adapter *adapter) RateLimit(request *dispatch.Request) (float64, bool) {
-	return adapter.servers.RateLimit(request.Service, request.AllowedDataCentres, request.VM)
+// AcceptedRate implements dispatch.Servers.
+func (adapter *adapter) AcceptedRate(request *dispatch.Request) (float64, bool) {
+	return adapter.servers.AcceptedRate(request.Service, request.AllowedDataCentres, request.VM)
 }
 
 // AllEvacuated implements dispatch.Servers.
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -108,7 +108,7 @@
 			}
 			return servers[0].ID, vm.pool.StartAs(id, placement.Plan{Server: servers[0]}, placement.Request{})
 		}
-		plan, found := vm.policy.Place(vm.pool.Available(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
+		plan, found := vm.policy.Place(vm.pool.Eligible(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
 		if found && ctx.Err() == nil {
 			if use, within := vm.pool.StartWithin(plan, placement.Request{}); within {
 				return plan.Server.ID, use
--- a/internal/coordinator/flow_test.go
+++ b/internal/coordinator/flow_test.go
@@ -169,7 +169,7 @@
 		assert.Assert(t, inTime(results[0]) >= 0.99, "%f", inTime(results[0]))
 		time.Sleep(2500 * time.Millisecond)
 		for _, vm := range simulation.vms[:3] {
-			for _, server := range vm.pool.Available(simulation.service, nil) {
+			for _, server := range vm.pool.Eligible(simulation.service, nil) {
 				assert.Equal(t, server.Running, 0, "%s at %s", server.ID, vm.name)
 			}
 		}
@@ -195,7 +195,7 @@
 				assert.Assert(t, !got.placed)
 				time.Sleep(20 * time.Millisecond)
 				for _, vm := range simulation.vms {
-					for _, server := range vm.pool.Available(simulation.service, nil) {
+					for _, server := range vm.pool.Eligible(simulation.service, nil) {
 						assert.Equal(t, server.Running, 0)
 					}
 				}
--- a/internal/dispatch/latethroughput.go
+++ b/internal/dispatch/latethroughput.go
@@ -73,7 +73,7 @@
 			refused = append(refused, Refusal{Key: request.Key})
 			return true
 		}
-		if perSecond, limited := servers.RateLimit(request); limited {
+		if perSecond, limited := servers.AcceptedRate(request); limited {
 			if fitsRateLimit(request, ahead[request.Service], perSecond, now) {
 				ahead[request.Service]++
 				return false
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -18,14 +18,14 @@
 
 // Servers gives access to the known state of the servers.
 type Servers interface {
-	// Available returns the servers of a service that may get requests.
-	Available(service string) []placement.Server
-	// BackedOff returns the IDs of the servers that asked a VM to send nothing for now.
-	BackedOff(vm string) []string
-	// RateLimit returns the combined rate limit, in requests a second over all VMs, of the servers
+	// Eligible returns the servers of a service that may get requests.
+	Eligible(service string) []placement.Server
+	// BackoffServers returns the IDs of the servers that asked a VM to send nothing for now.
+	BackoffServers(vm string) []string
+	// AcceptedRate returns the combined rate limit, in requests a second over all VMs, of the servers
 	// that the request may go to and that accept requests of its VM now. It reports whether all of
 	// these servers advertise limits.
-	RateLimit(request *Request) (float64, bool)
+	AcceptedRate(request *Request) (float64, bool)
 	// AllEvacuated reports whether the operator has evacuated all servers that the request may go
 	// to.
 	AllEvacuated(request *Request) bool
@@ -63,11 +63,11 @@
 	queue.Remove(request.Key)
 	queue.waiting = append(queue.waiting, request)
 	if queue.count(request.Service) > 1 {
-		if _, limited := servers.RateLimit(request); limited {
+		if _, limited := servers.AcceptedRate(request); limited {
 			return Assignment{}, false
 		}
 	}
-	plan, placed := queue.tryPlace(request, servers, servers.Available(request.Service), now)
+	plan, placed := queue.tryPlace(request, servers, servers.Eligible(request.Service), now)
 	if !placed {
 		return Assignment{}, false
 	}
@@ -87,7 +87,7 @@
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(request *Request) bool {
 		serviceServers, found := available[request.Service]
 		if !found {
-			serviceServers = servers.Available(request.Service)
+			serviceServers = servers.Eligible(request.Service)
 			available[request.Service] = serviceServers
 		}
 		plan, placed := queue.tryPlace(request, servers, serviceServers, now)
@@ -129,7 +129,7 @@
 // and that accept requests of its VM.
 func (queue *Queue) tryPlace(request *Request, servers Servers, serviceServers []placement.Server, now time.Time) (placement.Plan, bool) {
 	serviceServers = placement.InDataCentres(serviceServers, request.AllowedDataCentres)
-	serviceServers = placement.WithoutIDs(serviceServers, servers.BackedOff(request.VM))
+	serviceServers = placement.WithoutIDs(serviceServers, servers.BackoffServers(request.VM))
 	untried := placement.WithoutIDs(serviceServers, request.Tried)
 	if len(untried) == 0 {
 		untried = serviceServers // all have failed the request once, so any may be tried again
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -43,15 +43,15 @@
 
 var _ dispatch.Servers = (*stub)(nil)
 
-func (stub *stub) BackedOff(vm string) []string { return stub.backedOff[vm] }
+func (stub *stub) BackoffServers(vm string) []string { return stub.backedOff[vm] }
 
 func (stub *stub) AllEvacuated(*dispatch.Request) bool { return stub.evacuated }
 
-func (stub *stub) RateLimit(*dispatch.Request) (float64, bool) {
+func (stub *stub) AcceptedRate(*dispatch.Request) (float64, bool) {
 	return stub.perSecond, stub.perSecond > 0
 }
 
-func (stub *stub) Available(string) []placement.Server {
+func (stub *stub) Eligible(string) []placement.Server {
 	return append([]placement.Server(nil), stub.servers...)
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -81,7 +81,7 @@
 		}, func() float64 { return float64(gateway.directory.Bad() + gateway.configuration.Bad()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_resting_servers", Help: "Servers that want nothing from this VM now.",
-		}, func() float64 { return float64(len(gateway.pool.BackedOff(gateway.site.VM))) }),
+		}, func() float64 { return float64(len(gateway.pool.BackoffServers(gateway.site.VM))) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_limited_servers", Help: "Servers that named how many requests a second they take, as this VM knows.",
 		}, func() float64 { return float64(gateway.pool.Limited()) }),
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -66,7 +66,7 @@
 // open returns the servers that may get a request, with this VM's connections to them.
 // It excludes servers that were tried and servers that requested backoff from this VM.
 func (gateway *Gateway) open(service *catalog.Service, tried []string) []placement.Server {
-	servers := placement.WithoutIDs(gateway.pool.Available(service, tried), gateway.pool.BackedOff(gateway.site.VM))
+	servers := placement.WithoutIDs(gateway.pool.Eligible(service, tried), gateway.pool.BackoffServers(gateway.site.VM))
 	for i := range servers {
 		servers[i].Connected = gateway.upstream.Kept(servers[i].Address)
 	}
--- a/internal/pool/assignment_test.go
+++ b/internal/pool/assignment_test.go
@@ -23,7 +23,7 @@
 
 // freeMemory returns the free memory of both servers.
 func (fixture *fixture) freeMemory() (a, b int) {
-	for _, server := range fixture.Available(engines(), nil) {
+	for _, server := range fixture.Eligible(engines(), nil) {
 		switch server.ID {
 		case "a":
 			a = server.MemoryFree
@@ -126,7 +126,7 @@
 				fixture.Told("vm-2", []pool.Report{report})
 			}
 			found := false
-			for _, server := range fixture.Available(engines(), nil) {
+			for _, server := range fixture.Eligible(engines(), nil) {
 				if server.ID == "a" {
 					found = true
 					assert.Equal(t, server.Suspect, test.wantSuspect)
--- a/internal/pool/backoff.go
+++ b/internal/pool/backoff.go
@@ -24,7 +24,7 @@
 }
 
 // BackoffServers returns the IDs of the servers that are in backoff for a VM.
-func (pool *Pool) BackedOff(vm string) []string {
+func (pool *Pool) BackoffServers(vm string) []string {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.rests.Servers(vm, pool.now())
--- a/internal/pool/backoff_test.go
+++ b/internal/pool/backoff_test.go
@@ -55,8 +55,8 @@
 			fixture.Replace(listedServers(2))
 			test.action(fixture)
 			fixture.advance(time.Second)
-			assert.DeepEqual(t, fixture.BackedOff("vm-1"), test.own)
-			assert.DeepEqual(t, fixture.BackedOff("vm-2"), test.other)
+			assert.DeepEqual(t, fixture.BackoffServers("vm-1"), test.own)
+			assert.DeepEqual(t, fixture.BackoffServers("vm-2"), test.other)
 			_, unavailable := fixture.Find("engines", nil, []string{"s1", "s2"})
 			assert.Equal(t, slices.Contains(unavailable, "s1"), slices.Contains(test.own, "s1") || slices.Contains(fixture.eligible(), "s1#later"))
 		})
@@ -101,7 +101,7 @@
 					latest[backoff.server] = backoff.until
 				}
 			}
-			assert.Equal(t, len(fixture.BackedOff("vm-1")), len(latest))
+			assert.Equal(t, len(fixture.BackoffServers("vm-1")), len(latest))
 			end, allInBackoff := fixture.RestOver(engines(), nil)
 			assert.Equal(t, allInBackoff, len(latest) == 4)
 			for _, until := range latest {
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -56,7 +56,7 @@
 		b.StopTimer()
 		servers.Told("vm-2", reports) // keeps them from expiring
 		b.StartTimer()
-		servers.Available(service, nil)
+		servers.Eligible(service, nil)
 	}
 }
 
@@ -78,7 +78,7 @@
 	servers.Replace(listedServers(600))
 	b.ReportAllocs()
 	for b.Loop() {
-		servers.RateLimit("engines", nil, "vm-1")
+		servers.AcceptedRate("engines", nil, "vm-1")
 	}
 }
 
--- a/internal/pool/limit.go
+++ b/internal/pool/limit.go
@@ -195,7 +195,7 @@
 // AcceptedRate returns how many requests per second a service's servers in the allowed data centres
 // accept for a VM, leaving out those that are in backoff for it. It reports false if there are no
 // such servers, or one of them has no limit.
-func (pool *Pool) RateLimit(service string, allowed []string, vm string) (float64, bool) {
+func (pool *Pool) AcceptedRate(service string, allowed []string, vm string) (float64, bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -230,7 +230,7 @@
 			fixture.Limits("s2", 3)
 			test.action(fixture)
 			assert.DeepEqual(t, fixture.eligible(), test.eligible)
-			perSecond, limited := fixture.RateLimit("engines", nil, "vm-1")
+			perSecond, limited := fixture.AcceptedRate("engines", nil, "vm-1")
 			assert.Equal(t, perSecond, test.acceptedRate)
 			assert.Equal(t, limited, test.acceptedRate > 0)
 		})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -83,7 +83,7 @@
 // Eligible returns the servers of a service that can get a request, except for those in tried.
 // Servers that expired from the list while its source was unavailable are included only while they
 // outnumber the listed ones: the list is then still incomplete. Otherwise they count as removed.
-func (pool *Pool) Available(service *catalog.Service, tried []string) []placement.Server {
+func (pool *Pool) Eligible(service *catalog.Service, tried []string) []placement.Server {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -90,7 +90,7 @@
 
 func (fixture *fixture) eligible(tried ...string) []string {
 	var ids []string
-	for _, server := range fixture.Available(engines(), tried) {
+	for _, server := range fixture.Eligible(engines(), tried) {
 		ids = append(ids, server.ID)
 	}
 	slices.Sort(ids)
@@ -99,7 +99,7 @@
 
 func (fixture *fixture) server(t *testing.T, id string) placement.Server {
 	t.Helper()
-	for _, server := range fixture.Available(engines(), nil) {
+	for _, server := range fixture.Eligible(engines(), nil) {
 		if server.ID == id {
 			return server
 		}
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -28,7 +28,7 @@
 // its restart.
 func TestRestartResetsState(t *testing.T) {
 	firstPlan := func(fixture *fixture) placement.Plan {
-		return placement.Plan{Server: fixture.Available(engines(), nil)[0], PrefillPerServer: time.Second}
+		return placement.Plan{Server: fixture.Eligible(engines(), nil)[0], PrefillPerServer: time.Second}
 	}
 	for name, before := range map[string]func(fixture *fixture){
 		"requests in flight": func(fixture *fixture) {
