--- a/internal/backpressure/backoffs.go
+++ b/internal/backpressure/backoffs.go
@@ -7,10 +7,10 @@
 
 // Backoffs has the ends of the servers' backoffs by VM and server ID. A backoff belongs to one
 // start of a server, since the ID does, and to the one VM of which the server requested it.
-type Rests map[string]map[string]time.Time
+type Backoffs map[string]map[string]time.Time
 
 // Add records a backoff, and reports whether it ends later than the known one.
-func (backoffs Rests) Add(vm, server string, until time.Time) bool {
+func (backoffs Backoffs) Add(vm, server string, until time.Time) bool {
 	if !until.After(backoffs[vm][server]) {
 		return false
 	}
@@ -22,7 +22,7 @@
 }
 
 // Servers returns the IDs of the servers in backoff for a VM, and removes expired backoffs.
-func (backoffs Rests) Servers(vm string, now time.Time) []string {
+func (backoffs Backoffs) Servers(vm string, now time.Time) []string {
 	var inBackoff []string
 	for server, until := range backoffs[vm] {
 		if now.Before(until) {
@@ -38,7 +38,7 @@
 }
 
 // Retain removes the backoffs of all servers for which exists returns false.
-func (backoffs Rests) Forget(exists func(server string) bool) {
+func (backoffs Backoffs) Retain(exists func(server string) bool) {
 	for _, servers := range backoffs {
 		maps.DeleteFunc(servers, func(id string, _ time.Time) bool { return !exists(id) })
 	}
@@ -46,7 +46,7 @@
 
 // End returns the end of a server's backoff for a VM, or zero, and reports whether it is still to
 // come.
-func (backoffs Rests) Over(vm, server string, now time.Time) (time.Time, bool) {
+func (backoffs Backoffs) End(vm, server string, now time.Time) (time.Time, bool) {
 	until := backoffs[vm][server]
 	return until, now.Before(until)
 }
--- a/internal/backpressure/backoffs_test.go
+++ b/internal/backpressure/backoffs_test.go
@@ -20,7 +20,7 @@
 		until      time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		backoffs := make(backpressure.Rests)
+		backoffs := make(backpressure.Backoffs)
 		now := start()
 		var all []backoff
 		removed := make(map[string]bool)
@@ -36,7 +36,7 @@
 			}
 			if rapid.IntRange(0, 15).Draw(t, "goes") == 0 {
 				removed[drawn.server] = true
-				backoffs.Forget(func(server string) bool { return !removed[server] })
+				backoffs.Retain(func(server string) bool { return !removed[server] })
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "passes")) * time.Millisecond)
 			var want []string
@@ -50,7 +50,7 @@
 			slices.Sort(got)
 			slices.Sort(want)
 			assert.DeepEqual(t, got, want)
-			_, inBackoff := backoffs.Over(drawn.vm, drawn.server, now)
+			_, inBackoff := backoffs.End(drawn.vm, drawn.server, now)
 			assert.Equal(t, inBackoff, slices.Contains(want, drawn.server))
 		}
 	})
--- a/internal/backpressure/rate_limit_test.go
+++ b/internal/backpressure/rate_limit_test.go
@@ -18,8 +18,8 @@
 func start() time.Time { return time.Unix(1000, 0) }
 
 // advertisedLimit returns a limit that was advertised at the start.
-func advertisedLimit(perSecond float64) backpressure.Limit {
-	limit, _ := backpressure.Limit{}.WithNamed(perSecond, start())
+func advertisedLimit(perSecond float64) backpressure.RateLimit {
+	limit, _ := backpressure.RateLimit{}.WithAdvertised(perSecond, start())
 	return limit
 }
 
@@ -45,8 +45,8 @@
 			limit := advertisedLimit(test.perSecond)
 			var sent []time.Time
 			for now := start(); now.Before(start().Add(duration)); now = now.Add(checkInterval) {
-				if limit.Open(test.share, now) {
-					limit = limit.WithTaken(test.share, now)
+				if limit.Allows(test.share, now) {
+					limit = limit.WithRequest(test.share, now)
 					sent = append(sent, now)
 				}
 			}
@@ -100,16 +100,16 @@
 		"infinity counts as the maximum":                      {update: []update{{at: 1, perSecond: math.Inf(1)}}, advertised: true, perSecond: 1e6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var limit backpressure.Limit
+			var limit backpressure.RateLimit
 			for _, update := range test.update {
 				if update.omitted {
-					limit, _ = limit.WithLifted(at(update.at), at(10))
+					limit, _ = limit.WithOmitted(at(update.at), at(10))
 				} else {
-					limit, _ = limit.WithNamed(update.perSecond, at(update.at))
+					limit, _ = limit.WithAdvertised(update.perSecond, at(update.at))
 				}
 			}
-			advertisement, _ := limit.Statement()
-			assert.Equal(t, advertisement.Named, test.advertised)
+			advertisement, _ := limit.Advertisement()
+			assert.Equal(t, advertisement.Advertised, test.advertised)
 			if test.advertised {
 				assert.Equal(t, advertisement.PerSecond, test.perSecond)
 			}
@@ -126,7 +126,7 @@
 	limit := advertisedLimit(1)
 	respond := func() (lifted bool) {
 		now = now.Add(interval)
-		limit, lifted = limit.WithLifted(now, now)
+		limit, lifted = limit.WithOmitted(now, now)
 		return lifted
 	}
 	for _, tolerated := range []int{0, 2, 4, 8, 16, 16} {
@@ -135,23 +135,23 @@
 		}
 		assert.Assert(t, respond(), "not lifted by more than %d", tolerated)
 		now = now.Add(time.Second)
-		limit, _ = limit.WithNamed(1, now)
+		limit, _ = limit.WithAdvertised(1, now)
 	}
 	for !respond() {
 	}
 	now = now.Add(time.Minute)
-	limit, _ = limit.WithNamed(1, now)
+	limit, _ = limit.WithAdvertised(1, now)
 	assert.Assert(t, respond())
 }
 
 // TestRepeatedResponseCountsOnce guards against lifting a limit by one response without it that VMs
 // report several times.
 func TestRepeatedResponseCountsOnce(t *testing.T) {
-	lifted, _ := advertisedLimit(1).WithLifted(start().Add(time.Second), start().Add(time.Second))
-	limit, _ := lifted.WithNamed(1, start().Add(2*time.Second))
+	lifted, _ := advertisedLimit(1).WithOmitted(start().Add(time.Second), start().Add(time.Second))
+	limit, _ := lifted.WithAdvertised(1, start().Add(2*time.Second))
 	for range 20 {
 		var lifted bool
-		limit, lifted = limit.WithLifted(start().Add(3*time.Second), start().Add(4*time.Second))
+		limit, lifted = limit.WithOmitted(start().Add(3*time.Second), start().Add(4*time.Second))
 		assert.Assert(t, !lifted)
 	}
 }
@@ -159,12 +159,12 @@
 // TestLoadIncreasesInSteps guards against the full load of all VMs at once after a limit is lifted:
 // the load increases over two seconds, and has no limit after that.
 func TestLoadIncreasesInSteps(t *testing.T) {
-	limit, lifted := advertisedLimit(1.4).WithLifted(start().Add(time.Second), start().Add(time.Second))
+	limit, lifted := advertisedLimit(1.4).WithOmitted(start().Add(time.Second), start().Add(time.Second))
 	assert.Assert(t, lifted)
 	var quarters []int
-	for now := start().Add(time.Second); limit.Holds(now); now = now.Add(5 * time.Millisecond) {
-		for limit.Open(1, now) {
-			limit = limit.WithTaken(1, now)
+	for now := start().Add(time.Second); limit.InForce(now); now = now.Add(5 * time.Millisecond) {
+		for limit.Allows(1, now) {
+			limit = limit.WithRequest(1, now)
 			quarter := int(now.Sub(start().Add(time.Second)) / (250 * time.Millisecond))
 			for len(quarters) <= quarter {
 				quarters = append(quarters, 0)
@@ -185,7 +185,7 @@
 // send.
 func TestPartitionedVMsStayWithinRateLimit(t *testing.T) {
 	const vms, perSecond = 76, 2.0
-	limits := make([]backpressure.Limit, vms)
+	limits := make([]backpressure.RateLimit, vms)
 	for vm := range limits {
 		limits[vm] = advertisedLimit(perSecond)
 	}
@@ -193,9 +193,9 @@
 	var sent []time.Time
 	for now := start().Add(time.Minute); now.Before(start().Add(4 * time.Minute)); now = now.Add(50 * time.Millisecond) {
 		for vm, limit := range limits {
-			limit = limit.WithLook(1.0/vms, float64(vm)/vms, now)
-			if limit.Open(1.0/vms, now) {
-				limit = limit.WithTaken(1.0/vms, now)
+			limit = limit.WithCheck(1.0/vms, float64(vm)/vms, now)
+			if limit.Allows(1.0/vms, now) {
+				limit = limit.WithRequest(1.0/vms, now)
 				sends[vm]++
 				sent = append(sent, now)
 			}
@@ -215,10 +215,10 @@
 func TestOverdrawnRateLimitRecovers(t *testing.T) {
 	limit := advertisedLimit(2)
 	for range 100 {
-		limit = limit.WithTaken(1, start())
+		limit = limit.WithRequest(1, start())
 	}
-	assert.Assert(t, !limit.Open(1, start().Add(4*time.Second)))
-	assert.Assert(t, limit.Open(1, start().Add(5*time.Second+time.Millisecond)), "recovers from at most four seconds of debt")
+	assert.Assert(t, !limit.Allows(1, start().Add(4*time.Second)))
+	assert.Assert(t, limit.Allows(1, start().Add(5*time.Second+time.Millisecond)), "recovers from at most four seconds of debt")
 }
 
 // TestRateLimitAgainstOracle draws requests and advertisements, and compares the sent requests with
@@ -233,11 +233,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "passes")) * time.Millisecond)
 			if rapid.IntRange(0, 20).Draw(t, "names") == 0 {
 				perSecond := rapid.Float64Range(0, 8).Draw(t, "per second")
-				limit, _ = limit.WithNamed(perSecond, now)
+				limit, _ = limit.WithAdvertised(perSecond, now)
 				greatest = max(greatest, perSecond)
 			}
-			if limit.Open(1, now) {
-				limit = limit.WithTaken(1, now)
+			if limit.Allows(1, now) {
+				limit = limit.WithRequest(1, now)
 				sent = append(sent, now)
 			}
 		}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -51,7 +51,7 @@
 	}
 	for i := range configuration.Routes {
 		route := &catalog.configuration.Routes[i]
-		host := normalHost(route.Host)
+		host := normaliseHost(route.Host)
 		catalog.byHost[host] = append(catalog.byHost[host], route)
 	}
 	for _, routes := range catalog.byHost {
@@ -73,7 +73,7 @@
 // Route returns the route of a host with the longest prefix that matches the path, and false if
 // none matches.
 func (catalog *Catalog) Route(host, path string) (*Route, bool) {
-	for _, route := range catalog.byHost[normalHost(host)] {
+	for _, route := range catalog.byHost[normaliseHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -110,7 +110,7 @@
 }
 
 // normaliseHost returns the host without its port, in lower case.
-func normalHost(host string) string {
+func normaliseHost(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
 }
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -25,29 +25,29 @@
 	// MemoryTokens is the size of one engine's KV memory in tokens.
 	MemoryTokens int
 	// StepsPerPass is the number of steps of a pass with decoding requests.
-	Stride int
+	StepsPerPass int
 	// StepTime is the base time of a step, and StepTimePerRequest its additional time for each
 	// decoding request.
-	Step       time.Duration
-	PerRequest time.Duration
+	StepTime           time.Duration
+	StepTimePerRequest time.Duration
 	// StepTimePerThousandTokens is the additional time of a step for each thousand context tokens
 	// of the decoding requests.
-	PerThousand time.Duration
+	StepTimePerThousandTokens time.Duration
 	// PrefillTokensPerSecond is the linear part of the prefill speed in prompt tokens per second.
-	ReadPerSecond float64
+	PrefillTokensPerSecond float64
 	// TimePerMillionPairs is the quadratic part of the prefill time: the time for a million pairs
 	// of a token and an earlier one.
-	PairsPerMillion time.Duration
+	TimePerMillionPairs time.Duration
 }
 
 // million is the number of pairs that TimePerMillionPairs is for.
 const million = 1e6
 
 // PrefillTime returns the prefill time of a prompt on an otherwise idle engine.
-func (engine *Engine) ReadTime(tokens int) time.Duration {
+func (engine *Engine) PrefillTime(tokens int) time.Duration {
 	length := float64(tokens)
-	linear := length / engine.ReadPerSecond * float64(time.Second)
-	pairs := length * length / 2 / million * float64(engine.PairsPerMillion)
+	linear := length / engine.PrefillTokensPerSecond * float64(time.Second)
+	pairs := length * length / 2 / million * float64(engine.TimePerMillionPairs)
 	return time.Duration(linear + pairs)
 }
 
@@ -57,7 +57,7 @@
 // PassTime returns the time of a decode pass without prefill, for the given numbers of decoding
 // requests and of context tokens of all of them together.
 func (engine *Engine) PassTime(requests, context int) time.Duration {
-	step := float64(engine.Step) + float64(requests)*float64(engine.PerRequest) +
-		float64(context)/thousand*float64(engine.PerThousand)
-	return time.Duration(float64(engine.Stride) * step)
+	step := float64(engine.StepTime) + float64(requests)*float64(engine.StepTimePerRequest) +
+		float64(context)/thousand*float64(engine.StepTimePerThousandTokens)
+	return time.Duration(float64(engine.StepsPerPass) * step)
 }
--- a/internal/cmd/lossescmd.go
+++ b/internal/cmd/lossescmd.go
@@ -80,8 +80,8 @@
 	fleet := losses.Fleet{
 		Servers: servers, LongFrom: command.Duration(flagLongFrom),
 		Engine: catalog.Engine{
-			Slots: command.Int(flagSlots), ReadPerSecond: command.Float(flagReadPerSecond),
-			PairsPerMillion: time.Duration(command.Float(flagPairs) * float64(time.Millisecond)),
+			Slots: command.Int(flagSlots), PrefillTokensPerSecond: command.Float(flagReadPerSecond),
+			TimePerMillionPairs: time.Duration(command.Float(flagPairs) * float64(time.Millisecond)),
 		},
 	}
 	fmt.Fprintln(command.Root().Writer)
--- a/internal/cmd/serverscmd.go
+++ b/internal/cmd/serverscmd.go
@@ -42,7 +42,7 @@
 	fmt.Fprintln(w, "SERVER\tSERVICE\tLISTING\tRUNNING\tSUSPECT\tLEAVING\tRESTS FROM\tLIMIT\tCOLD")
 	for _, server := range status.Servers {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%s\t%s\t%s\t%s\n", server.ID, server.Service, server.Listing, server.Running, server.Suspect,
-			leavingText(server), restsText(server.Rests), limitText(server.Limit), cmp.Or(ago("%.1f s more", server.ColdSeconds), nothing))
+			leavingText(server), restsText(server.Backoffs), limitText(server.Limit), cmp.Or(ago("%.1f s more", server.ColdSeconds), nothing))
 	}
 	if len(status.Kept) == 0 {
 		return
@@ -64,13 +64,13 @@
 }
 
 func leavingText(server pool.ServerStatus) string {
-	if server.LeavingToldBy == "" {
+	if server.DrainingReportedBy == "" {
 		return nothing
 	}
-	return "by " + server.LeavingToldBy
+	return "by " + server.DrainingReportedBy
 }
 
-func restsText(rests []pool.RestStatus) string {
+func restsText(rests []pool.BackoffStatus) string {
 	if len(rests) == 0 {
 		return nothing
 	}
@@ -88,6 +88,6 @@
 	case limit.Lifted:
 		return fmt.Sprintf("lifted, was %g/s", limit.PerSecond)
 	default:
-		return fmt.Sprintf("%g/s, takes %.1f, said %.0f s ago", limit.PerSecond, limit.Available, limit.SaidSeconds)
+		return fmt.Sprintf("%g/s, takes %.1f, said %.0f s ago", limit.PerSecond, limit.Available, limit.AdvertisedSeconds)
 	}
 }
--- a/internal/cmd/serverscmd_test.go
+++ b/internal/cmd/serverscmd_test.go
@@ -19,9 +19,9 @@
 	status := gateway.Status{
 		VM: "vm-1", Members: 3, Coordinators: []string{"vm-2", "vm-1"}, Epoch: 2, EpochSeconds: 61,
 		Servers: []pool.ServerStatus{
-			{ID: "s1", Service: "engines", Listing: pool.ListingListed, Running: 4, Limit: &pool.LimitStatus{PerSecond: 1.4, SaidSeconds: 7, Available: 0.5}},
-			{ID: "s2", Service: "engines", Listing: pool.ListingMissing, LeavingToldBy: "vm-3"},
-			{ID: "s3", Service: "plain", Listing: pool.ListingListed, Rests: []pool.RestStatus{{VM: "vm-1", Seconds: 2.5}}},
+			{ID: "s1", Service: "engines", Listing: pool.ListingListed, Running: 4, Limit: &pool.LimitStatus{PerSecond: 1.4, AdvertisedSeconds: 7, Available: 0.5}},
+			{ID: "s2", Service: "engines", Listing: pool.ListingMissing, DrainingReportedBy: "vm-3"},
+			{ID: "s3", Service: "plain", Listing: pool.ListingListed, Backoffs: []pool.BackoffStatus{{VM: "vm-1", Seconds: 2.5}}},
 			{ID: "s4", Service: "plain", Listing: pool.ListingEvacuated, ColdSeconds: 1.25},
 		},
 		Kept: []gateway.KeptStatus{{Fingerprint: "17", Seconds: 540, Times: 1}},
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -49,7 +49,7 @@
 	}
 	request.Packable = service.Engine == nil || request.Placement.Packable()
 	if service.Engine != nil {
-		request.Prefill = service.Engine.ReadTime(assignmentRequest.Tokens)
+		request.Prefill = service.Engine.PrefillTime(assignmentRequest.Tokens)
 		request.MinTTFT = request.Placement.MinTTFT()
 	}
 	_, found = coordinator.lastRequested[key]
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -36,11 +36,11 @@
 var _ exchange.Sink = (*fleetVM)(nil)
 
 // Told implements exchange.Sink.
-func (vm *fleetVM) Told(name string, reports []pool.Report) { vm.pool.Told(name, reports) }
+func (vm *fleetVM) Told(name string, reports []pool.Report) { vm.pool.ApplyReports(name, reports) }
 
 // Own implements exchange.Sink.
 func (vm *fleetVM) Own() []pool.Report {
-	return append(vm.pool.Own(), vm.pool.OwnLimits(vm.exchange.Judges())...)
+	return append(vm.pool.OwnReports(), vm.pool.OwnLimitReports(vm.exchange.Evaluates())...)
 }
 
 // HandleRequests implements exchange.Sink.
@@ -85,7 +85,7 @@
 }
 
 // place returns the server that the request is assigned to, or a nil use if it gets none.
-func (vm *fleetVM) place(ctx context.Context, got *result) (string, *pool.Use) {
+func (vm *fleetVM) place(ctx context.Context, got *result) (string, *pool.ActiveRequest) {
 	arrived := got.arrived
 	for ctx.Err() == nil {
 		id := vm.pool.ReserveID()
@@ -104,13 +104,13 @@
 			servers, missing := vm.pool.Find(plainName, nil, response.Servers)
 			assert.Check(vm.fleet.t, len(missing) == 0)
 			if response.RateLimited {
-				vm.pool.WatchLimit(servers[0].ID)
+				vm.pool.WatchRateLimit(servers[0].ID)
 			}
-			return servers[0].ID, vm.pool.StartAs(id, placement.Plan{Server: servers[0]}, placement.Request{})
+			return servers[0].ID, vm.pool.StartWithID(id, placement.Plan{Server: servers[0]}, placement.Request{})
 		}
 		plan, found := vm.policy.Place(vm.pool.Eligible(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
 		if found && ctx.Err() == nil {
-			if use, within := vm.pool.StartWithin(plan, placement.Request{}); within {
+			if use, within := vm.pool.StartWithinLimits(plan, placement.Request{}); within {
 				return plan.Server.ID, use
 			}
 		}
@@ -120,7 +120,7 @@
 }
 
 // send sends the request to a server, and passes the limit in the response to the pool.
-func (vm *fleetVM) send(id string, use *pool.Use) {
+func (vm *fleetVM) send(id string, use *pool.ActiveRequest) {
 	sentAt := time.Now()
 	time.Sleep(plainNetwork)
 	var limit float64
@@ -132,9 +132,9 @@
 	}
 	time.Sleep(plainNetwork)
 	if advertises {
-		vm.pool.Limits(id, limit)
+		vm.pool.RecordRateLimit(id, limit)
 	} else {
-		vm.pool.LiftsLimit(id, sentAt)
+		vm.pool.RecordNoRateLimit(id, sentAt)
 	}
-	use.Over()
+	use.Finish()
 }
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/simulation_test.go
@@ -25,8 +25,8 @@
 // newService returns the service of the users' large fleet.
 func newService() *catalog.Service {
 	return &catalog.Service{Name: serviceName, Engine: &catalog.Engine{
-		Slots: 10, MemoryTokens: 232_000, Stride: 68, Step: 1020 * time.Microsecond,
-		ReadPerSecond: 206_000, PairsPerMillion: 138 * time.Microsecond,
+		Slots: 10, MemoryTokens: 232_000, StepsPerPass: 68, StepTime: 1020 * time.Microsecond,
+		PrefillTokensPerSecond: 206_000, TimePerMillionPairs: 138 * time.Microsecond,
 	}}
 }
 
@@ -164,7 +164,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			testvm.publish(testvm.pool.Own())
+			testvm.publish(testvm.pool.OwnReports())
 		}
 	}
 }
@@ -172,7 +172,7 @@
 func (testvm *testVM) publish(reports []pool.Report) {
 	for _, name := range testvm.simulation.coordinators {
 		if name != testvm.name && len(reports) > 0 {
-			testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.pool.Told(testvm.name, reports) })
+			testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.pool.ApplyReports(testvm.name, reports) })
 		}
 	}
 }
@@ -266,12 +266,12 @@
 	result.expectedTTFT = result.waited + response.PredictedTTFT
 	result.servers = response.Servers
 	servers, _ := testvm.pool.Find(serviceName, nil, response.Servers)
-	use := testvm.pool.StartAs(id, placement.Plan{
+	use := testvm.pool.StartWithID(id, placement.Plan{
 		Server: servers[0], Helpers: servers[1:], PrefillPerServer: response.PrefillPerServer, MemoryShares: response.MemoryShares, Packable: response.Packable,
 	}, placement.Request{Engine: testvm.simulation.service.Engine, Memory: kind.tokens + 500, InterTokenObjective: kind.gap})
 	time.Sleep(response.PredictedTTFT)
-	use.Read()
+	use.FinishPrefill()
 	time.Sleep(kind.decodeTime)
-	use.Over()
+	use.Finish()
 	return result
 }
--- a/internal/ejection/state.go
+++ b/internal/ejection/state.go
@@ -20,12 +20,12 @@
 }
 
 // RecordSuccess records a success, which ends an ejection and resets the count of failures.
-func (state *State) Succeeded() {
+func (state *State) RecordSuccess() {
 	*state = State{}
 }
 
 // RecordFailure records a failure, and reports whether the server is ejected.
-func (state *State) Failed(now time.Time, limits Limits) bool {
+func (state *State) RecordFailure(now time.Time, limits Limits) bool {
 	state.failures++
 	excess := state.failures - limits.After
 	if excess < 0 {
@@ -46,7 +46,7 @@
 
 // StartProbe records that a request is sent to a server whose ejection has ended, as a probe: the
 // server counts as ejected for Limits.Time again, or until the probe succeeds.
-func (state *State) Try(now time.Time, limits Limits) {
+func (state *State) StartProbe(now time.Time, limits Limits) {
 	if state.failures >= limits.After && !now.Before(state.until) {
 		state.until = now.Add(limits.Time)
 	}
--- a/internal/ejection/state_test.go
+++ b/internal/ejection/state_test.go
@@ -15,17 +15,17 @@
 	limits := ejection.Limits{After: 2, Time: time.Second, TimeMax: 3 * time.Second}
 	start := time.Unix(0, 0)
 	state := ejection.State{}
-	assert.Assert(t, !state.Failed(start, limits))
-	assert.Assert(t, state.Failed(start, limits))
+	assert.Assert(t, !state.RecordFailure(start, limits))
+	assert.Assert(t, state.RecordFailure(start, limits))
 	assert.Assert(t, state.Ejected(start.Add(999*time.Millisecond)))
 	assert.Assert(t, !state.Ejected(start.Add(time.Second)))
-	state.Try(start.Add(time.Second), limits)
+	state.StartProbe(start.Add(time.Second), limits)
 	assert.Assert(t, state.Ejected(start.Add(1500*time.Millisecond)), "only one probe at a time")
 	for range 5 {
-		state.Failed(start, limits)
+		state.RecordFailure(start, limits)
 	}
 	assert.Assert(t, state.Ejected(start.Add(2999*time.Millisecond)))
 	assert.Assert(t, !state.Ejected(start.Add(3*time.Second)), "no longer than TimeMax")
-	state.Succeeded()
-	assert.Assert(t, !state.Failed(start, limits))
+	state.RecordSuccess()
+	assert.Assert(t, !state.RecordFailure(start, limits))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 	admission   *admission
 	retries     *retrybudget.Budget
 	registry    *registry
-	quarantine  *quarantine.Book
+	quarantine  *quarantine.Tracker
 	metrics     *metrics
 	prometheus  *prometheus.Registry
 	logger      *slog.Logger
@@ -118,7 +118,7 @@
 		admission:   newAdmission(settings.Admission),
 		retries:     retrybudget.New(retrybudget.Limits{Ratio: settings.Retry.Ratio, Burst: settings.Retry.Burst}, time.Now),
 		registry:    registry,
-		quarantine:  quarantine.New(settings.Quarantine, quarantine.Alone{}, quarantine.Alone{}, logger, time.Now),
+		quarantine:  quarantine.New(settings.Quarantine, quarantine.Standalone{}, quarantine.Standalone{}, logger, time.Now),
 		metrics:     newMetrics(prometheus, registry.len, replica.Next),
 		prometheus:  prometheus,
 		logger:      logger,
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -110,7 +110,7 @@
 		if ctx.Err() != nil {
 			return run.interrupted(ctx)
 		}
-		if left := run.entry.quarantine.Kept(run.fingerprint); left > 0 {
+		if left := run.entry.quarantine.Remaining(run.fingerprint); left > 0 {
 			return run.failed(request.ReasonCrashesServers, left)
 		}
 		decision := run.decide()
@@ -248,7 +248,7 @@
 	switch result.kind {
 	case resultCompleted:
 		entry.fleet.Succeeded(result.server)
-		entry.quarantine.Served(run.fingerprint, result.server)
+		entry.quarantine.RecordCompletion(run.fingerprint, result.server)
 		return request.Completed(result.server), true
 	case resultInterrupted:
 		return run.interrupted(ctx), true
@@ -256,7 +256,7 @@
 		return run.failed(result.reason, entry.settings.Admission.RetryAfter), true
 	}
 	if result.lost {
-		entry.quarantine.Lost(quarantine.Loss{Fingerprint: run.fingerprint, Server: result.server, Ran: result.ran})
+		entry.quarantine.RecordLoss(quarantine.Loss{Fingerprint: run.fingerprint, Server: result.server, HadEvent: result.ran})
 	}
 	ejected := entry.fleet.Failed(result.server)
 	entry.logger.Warn("attempt failed", "request_id", run.request.ID, "attempt", run.attempts-1,
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -17,17 +17,17 @@
 		sendings = append(sendings, &wire.Sending{
 			Id:           report.ID,
 			Server:       report.Server,
-			Phase:        wire.Phase(report.Phase),           //nolint:gosec // few values
-			WorkUs:       uint64(report.Work.Microseconds()), //nolint:gosec // not negative
-			MemoryTokens: uint64(report.Memory),              //nolint:gosec // not negative
-			GapMs:        uint32(report.Gap.Milliseconds()),  //nolint:gosec // seconds at most
+			Phase:        wire.Phase(report.Phase),                  //nolint:gosec // few values
+			WorkUs:       uint64(report.PrefillTime.Microseconds()), //nolint:gosec // not negative
+			MemoryTokens: uint64(report.Memory),                     //nolint:gosec // not negative
+			GapMs:        uint32(report.Gap.Milliseconds()),         //nolint:gosec // seconds at most
 			Tight:        report.Tight,
-			Helps:        report.Helps,
+			Helps:        report.PrefillOnly,
 			AgeMs:        uint32(report.Age.Milliseconds()), //nolint:gosec // minutes at most
 			PacePercent:  uint32(percent * report.Pace),
 			Health:       wire.Health(report.Health), //nolint:gosec // few values
 			Fingerprint:  uint64(report.Fingerprint),
-			RestMs:       milliseconds(report.Rest),
+			RestMs:       milliseconds(report.Backoff),
 			PerSecond:    report.PerSecond,
 		})
 	}
@@ -38,18 +38,18 @@
 	reports := make([]pool.Report, 0, len(sendings))
 	for _, sending := range sendings {
 		reports = append(reports, pool.Report{
-			ID:     sending.GetId(),
-			Server: sending.GetServer(),
-			Phase:  pool.Phase(sending.GetPhase()),
-			Work:   time.Duration(sending.GetWorkUs()) * time.Microsecond, //nolint:gosec // hours at most
-			Memory: int(sending.GetMemoryTokens()),                        //nolint:gosec // bounded by any engine's memory
-			Gap:    time.Duration(sending.GetGapMs()) * time.Millisecond,
-			Tight:  sending.GetTight(),
-			Helps:  sending.GetHelps(),
-			Age:    time.Duration(sending.GetAgeMs()) * time.Millisecond,
-			Pace:   float64(sending.GetPacePercent()) / percent,
-			Health: pool.Health(sending.GetHealth()),
-			Rest:   time.Duration(sending.GetRestMs()) * time.Millisecond,
+			ID:          sending.GetId(),
+			Server:      sending.GetServer(),
+			Phase:       pool.Phase(sending.GetPhase()),
+			PrefillTime: time.Duration(sending.GetWorkUs()) * time.Microsecond, //nolint:gosec // hours at most
+			Memory:      int(sending.GetMemoryTokens()),                        //nolint:gosec // bounded by any engine's memory
+			Gap:         time.Duration(sending.GetGapMs()) * time.Millisecond,
+			Tight:       sending.GetTight(),
+			PrefillOnly: sending.GetHelps(),
+			Age:         time.Duration(sending.GetAgeMs()) * time.Millisecond,
+			Pace:        float64(sending.GetPacePercent()) / percent,
+			Health:      pool.Health(sending.GetHealth()),
+			Backoff:     time.Duration(sending.GetRestMs()) * time.Millisecond,
 
 			PerSecond:   sending.GetPerSecond(),
 			Fingerprint: fingerprint.Fingerprint(sending.GetFingerprint()),
--- a/internal/exchange/coordinators.go
+++ b/internal/exchange/coordinators.go
@@ -14,9 +14,9 @@
 // coordinatorKey is the rendezvous key that ranks VMs as coordinators.
 const coordinatorOrder = "coordinator"
 
-// Judges implements quarantine.Publisher. It reports whether this VM is a coordinator, and so receives what all others
+// Evaluates implements quarantine.Publisher. It reports whether this VM is a coordinator, and so receives what all others
 // observe of the servers. A VM without live peers is its own coordinator.
-func (exchange *Exchange) Judges() bool {
+func (exchange *Exchange) Evaluates() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	return exchange.decides(exchange.self.VM)
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -116,7 +116,7 @@
 		}
 		const reports = 10
 		for id := range uint64(reports) {
-			vms.parts[20].Publish(pool.Report{ID: id, Server: "s1", Phase: pool.PhaseReading})
+			vms.parts[20].Publish(pool.Report{ID: id, Server: "s1", Phase: pool.PhasePrefill})
 			time.Sleep(5 * time.Millisecond)
 		}
 		assert.Equal(t, conns[20].sent.Load(), int64(3*reports), "reports sent to all VMs would take 35 datagrams each")
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -253,8 +253,8 @@
 // TestReportsReachPeers checks that a published report arrives unchanged, and that heartbeats repeat all own reports.
 func TestReportsReachPeers(t *testing.T) {
 	report := pool.Report{
-		ID: 7, Server: "s1", Phase: pool.PhaseWriting, Work: 1500 * time.Microsecond, Memory: 133_000,
-		Gap: 250 * time.Millisecond, Tight: true, Helps: true, Age: 20 * time.Millisecond,
+		ID: 7, Server: "s1", Phase: pool.PhaseDecode, PrefillTime: 1500 * time.Microsecond, Memory: 133_000,
+		Gap: 250 * time.Millisecond, Tight: true, PrefillOnly: true, Age: 20 * time.Millisecond,
 	}
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 2)
@@ -266,7 +266,7 @@
 		// Heartbeats repeat the own reports, in as many datagrams as needed.
 		var own []pool.Report
 		for id := range 100 {
-			own = append(own, pool.Report{ID: uint64(id), Server: "s1", Phase: pool.PhaseReading})
+			own = append(own, pool.Report{ID: uint64(id), Server: "s1", Phase: pool.PhasePrefill})
 		}
 		vms.sinks[0].mu.Lock()
 		vms.sinks[0].own = own
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -173,7 +173,7 @@
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if server := fleet.servers[id]; server != nil {
-		server.ejection.Succeeded()
+		server.ejection.RecordSuccess()
 	}
 }
 
@@ -185,7 +185,7 @@
 	if server == nil {
 		return false
 	}
-	return server.ejection.Failed(fleet.now(), fleet.settings.ejection())
+	return server.ejection.RecordFailure(fleet.now(), fleet.settings.ejection())
 }
 
 // Leaving notes that the server itself said that it is leaving.
--- a/internal/fleet/sending.go
+++ b/internal/fleet/sending.go
@@ -46,7 +46,7 @@
 		server.own.short += share.short
 		server.own.long += share.long
 		server.sent = append(server.sent, sent{at: now, memory: request.Need() / width})
-		server.ejection.Try(now, fleet.settings.ejection())
+		server.ejection.StartProbe(now, fleet.settings.ejection())
 	}
 	counted := sync.OnceFunc(func() { fleet.computed(decision, share) })
 	computed := sync.OnceFunc(func() {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,9 +30,9 @@
 
 // attempt sends the request to the servers of a plan. It always releases use, which holds the
 // capacity claimed for the plan.
-func (forwarder *run) attempt(ctx context.Context, plan placement.Plan, use *pool.Use) result {
+func (forwarder *run) attempt(ctx context.Context, plan placement.Plan, use *pool.ActiveRequest) result {
 	gateway := forwarder.gateway
-	defer use.Over()
+	defer use.Finish()
 	reserved, err := forwarder.reserve(ctx, plan)
 	if err != nil {
 		return result{kind: resultNoMemory, err: err}
@@ -115,7 +115,7 @@
 	}
 	for _, failure := range failed.Failures {
 		if failure.Err == nil && failure.Reply.Kind == reservation.ReplyNotFree {
-			forwarder.gateway.pool.NotFree(forwarder.service, failure.Instance, failure.Tokens, failure.Reply.Free)
+			forwarder.gateway.pool.RecordFreeMemory(forwarder.service, failure.Instance, failure.Tokens, failure.Reply.Free)
 			continue
 		}
 		forwarder.tried = append(forwarder.tried, failure.Instance)
@@ -213,7 +213,7 @@
 // attempted is an attempt whose server has started to respond.
 type attempted struct {
 	plan     placement.Plan
-	use      *pool.Use
+	use      *pool.ActiveRequest
 	response *upstream.Response
 	// watchdog cancels the attempt when the server sends nothing for too long. It is nil if the
 	// attempt has no such limit.
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -12,7 +12,7 @@
 
 // placeElsewhere requests a placement from the coordinator. While no coordinator responds it
 // places the request itself, with only the requests of this VM counted as load.
-func (forwarder *run) placeElsewhere(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+func (forwarder *run) placeElsewhere(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
 	if until := forwarder.heldUntil(); until.Before(forwarder.deadline) { // otherwise ctx ends first, with the cause of that
 		queueCtx, cancel := context.WithTimeout(ctx, until.Sub(gateway.now()))
@@ -38,7 +38,7 @@
 
 // ask requests placements from the coordinator until it returns one whose servers are
 // all in this VM's pool.
-func (forwarder *run) ask(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+func (forwarder *run) ask(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
 	for ctx.Err() == nil {
 		id := gateway.pool.ReserveID()
@@ -59,10 +59,10 @@
 		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, answer.Servers)
 		if len(missing) == 0 {
 			if answer.RateLimited {
-				gateway.pool.WatchLimit(servers[0].ID)
+				gateway.pool.WatchRateLimit(servers[0].ID)
 			}
 			plan := planOf(answer, servers)
-			return plan, gateway.pool.StartAs(id, plan, forwarder.placementRequest()), true
+			return plan, gateway.pool.StartWithID(id, plan, forwarder.placementRequest()), true
 		}
 		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
 		// does not include a new server yet. Another placement is requested without the missing
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -143,7 +143,7 @@
 	budget := forwarder.gateway.budget(forwarder.service.Name)
 	budget.Earn()
 	for {
-		if forwarder.gateway.quarantine.Kept(forwarder.fingerprint) > 0 {
+		if forwarder.gateway.quarantine.Remaining(forwarder.fingerprint) > 0 {
 			return forwarder.fail(ReasonCrashesServers)
 		}
 		plan, use, ok := forwarder.place(ctx)
@@ -154,7 +154,7 @@
 			return forwarder.interrupted(ctx)
 		}
 		if forwarder.arrivals > 0 && !forwarder.mayRetry(budget) {
-			use.Over()
+			use.Finish()
 			return forwarder.fail(ReasonRefused)
 		}
 		forwarder.looks++
@@ -237,8 +237,8 @@
 	gateway.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	forwarder.last = result
 	if result.kind == resultAnswered {
-		gateway.pool.Succeeded(plan.Server.ID, forwarder.fingerprint)
-		gateway.quarantine.Served(forwarder.fingerprint, plan.Server.ID)
+		gateway.pool.RecordSuccess(plan.Server.ID, forwarder.fingerprint)
+		gateway.quarantine.RecordCompletion(forwarder.fingerprint, plan.Server.ID)
 		return outcome{status: result.status, answered: true, server: plan.Server.ID}, true
 	}
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
@@ -251,7 +251,7 @@
 	case ctx.Err() != nil:
 		return forwarder.interrupted(ctx), true
 	case result.kind == resultBroken, result.kind == resultUncertain && !forwarder.route.Repeatable(),
-		forwarder.runs >= forwarder.route.MaxAttempts, result.lost && gateway.quarantine.OnTrial(forwarder.fingerprint):
+		forwarder.runs >= forwarder.route.MaxAttempts, result.lost && gateway.quarantine.OnProbation(forwarder.fingerprint):
 		return forwarder.fail(ReasonServerFailed), true
 	}
 	return outcome{}, false
@@ -265,13 +265,13 @@
 	switch {
 	case result.excused:
 	case result.closed:
-		forwarder.gateway.pool.Closed(failedServer)
+		forwarder.gateway.pool.MarkClosed(failedServer)
 	case result.lost:
-		loss := quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: failedServer, Ran: result.ran}
-		suspect = forwarder.gateway.pool.FailedUnder(failedServer, forwarder.fingerprint, phaseOf(loss))
-		forwarder.gateway.quarantine.Lost(loss)
+		loss := quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: failedServer, HadEvent: result.ran}
+		suspect = forwarder.gateway.pool.RecordConnectionLoss(failedServer, forwarder.fingerprint, phaseOf(loss))
+		forwarder.gateway.quarantine.RecordLoss(loss)
 	default:
-		suspect = forwarder.gateway.pool.Failed(failedServer)
+		suspect = forwarder.gateway.pool.RecordFailure(failedServer)
 	}
 	forwarder.gateway.logger.Warn("attempt failed", "request_id", forwarder.head.ID, "send", forwarder.sends-1,
 		"server", plan.Server.ID, "at_fault", failedServer, "result", result.kind, "status", result.status,
@@ -309,7 +309,7 @@
 func (forwarder *run) returnAfter(reason Reason) time.Duration {
 	switch reason {
 	case ReasonCrashesServers:
-		return forwarder.gateway.quarantine.Kept(forwarder.fingerprint)
+		return forwarder.gateway.quarantine.Remaining(forwarder.fingerprint)
 	case ReasonResting:
 		return forwarder.givenUp.until.Sub(forwarder.gateway.now()) + forwarder.gateway.retryAfter()
 	case ReasonEvacuated:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 
 // Sources are the stores that a gateway follows or writes to.
 type Sources struct {
-	Configuration follower.Source[catalog.Statement]
+	Configuration follower.Source[catalog.Record]
 	Servers       follower.Source[directory.Entry]
 	Register      exchange.Register
 	Quarantine    quarantine.Store
@@ -79,7 +79,7 @@
 	started time.Time
 
 	belief        *belief
-	configuration *follower.Follower[catalog.Statement]
+	configuration *follower.Follower[catalog.Record]
 	directory     *follower.Follower[directory.Entry]
 	exchange      *exchange.Exchange
 	// tails has the recently read part of each source by the source's name, served to other VMs.
@@ -92,7 +92,7 @@
 	metrics      *metrics
 	idle         *idleConnections
 	returns      *returns
-	quarantine   *quarantine.Book
+	quarantine   *quarantine.Tracker
 	epochs       *epoch.Watch
 
 	// running counts requests in flight.
@@ -234,7 +234,7 @@
 	group.Go(func() error {
 		return gateway.exchange.Run(groupCtx, told{
 			Pool: gateway.pool, Coordinator: gateway.coordinator, quarantine: gateway.quarantine, tails: gateway.tails,
-			judges: gateway.exchange.Judges, now: gateway.now,
+			judges: gateway.exchange.Evaluates, now: gateway.now,
 		})
 	})
 	group.Go(func() error { gateway.quarantine.Run(groupCtx, gateway.site.First); return nil })
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -84,10 +84,10 @@
 		}, func() float64 { return float64(len(gateway.pool.BackoffServers(gateway.site.VM))) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_limited_servers", Help: "Servers that named how many requests a second they take, as this VM knows.",
-		}, func() float64 { return float64(gateway.pool.Limited()) }),
+		}, func() float64 { return float64(gateway.pool.RateLimited()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_leaving_servers", Help: "Servers that are known to leave and are not gone.",
-		}, func() float64 { return float64(gateway.pool.Leaving()) }),
+		}, func() float64 { return float64(gateway.pool.Draining()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_store_epoch", Help: "How often the platform's store came back older than it was.",
 		}, func() float64 {
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -30,18 +30,18 @@
 	notice := gateway.codec.Notice(status, header)
 	if notice.Leaving {
 		gateway.metrics.notices.WithLabelValues(noticeLeaving).Inc()
-		gateway.pool.Leaves(server)
+		gateway.pool.MarkDraining(server)
 	}
 	if notice.Rest > 0 {
 		gateway.metrics.notices.WithLabelValues(noticeRest).Inc()
-		gateway.pool.Rests(server, notice.Rest)
+		gateway.pool.BackOff(server, notice.Rest)
 	}
 	switch notice.Limit.Kind {
 	case call.LimitNamed:
 		gateway.metrics.notices.WithLabelValues(noticeLimit).Inc()
-		gateway.pool.Limits(server, notice.Limit.PerSecond)
+		gateway.pool.RecordRateLimit(server, notice.Limit.PerSecond)
 	case call.LimitNone:
-		gateway.pool.LiftsLimit(server, sentAt)
+		gateway.pool.RecordNoRateLimit(server, sentAt)
 	case call.LimitUnclear:
 	}
 	for _, value := range notice.Unreadable {
--- a/internal/gateway/operatorstate.go
+++ b/internal/gateway/operatorstate.go
@@ -48,17 +48,17 @@
 	return operatorState.current.Load()
 }
 
-var _ follower.Listener[catalog.Statement] = (*belief)(nil)
+var _ follower.Listener[catalog.Record] = (*belief)(nil)
 
 // Replace implements follower.Listener. Evacuations that are not among the values are revoked.
-func (operatorState *belief) Replace(values []follower.Change[catalog.Statement]) {
+func (operatorState *belief) Replace(values []follower.Change[catalog.Record]) {
 	previous := operatorState.evacuated
 	operatorState.evacuated = make(map[string]string)
 	operatorState.take(values, previous)
 }
 
 // Apply implements follower.Listener.
-func (operatorState *belief) Apply(changes []follower.Change[catalog.Statement]) {
+func (operatorState *belief) Apply(changes []follower.Change[catalog.Record]) {
 	previous := maps.Clone(operatorState.evacuated)
 	operatorState.take(changes, previous)
 }
@@ -66,7 +66,7 @@
 // take applies changes of statements; previous has the evacuations in force until now.
 // Evacuations are applied before the configuration, so that a VM that serves by a new configuration
 // also applies the evacuations stated with it.
-func (operatorState *belief) take(changes []follower.Change[catalog.Statement], previous map[string]string) {
+func (operatorState *belief) take(changes []follower.Change[catalog.Record], previous map[string]string) {
 	for _, change := range changes {
 		switch {
 		case change.Value == nil:
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -16,7 +16,7 @@
 	*pool.Pool
 	*coordinator.Coordinator
 
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 	tails      map[string]*follower.Tail
 	// judges reports whether this VM is one of the coordinators.
 	judges func() bool
@@ -38,19 +38,19 @@
 // Own implements exchange.Sink. It returns this VM's requests at servers, those whose server
 // connection was lost recently, and the rate limits of servers.
 func (peerSink told) Own() []pool.Report {
-	reports := peerSink.Pool.Own()
-	for _, loss := range peerSink.quarantine.Own() {
+	reports := peerSink.Pool.OwnReports()
+	for _, loss := range peerSink.quarantine.RecentLosses() {
 		reports = append(reports, pool.Report{
-			Server: loss.Server, Phase: phaseOf(loss), Health: pool.HealthLost,
+			Server: loss.Server, Phase: phaseOf(loss), Health: pool.HealthConnectionLost,
 			Fingerprint: loss.Fingerprint, Age: peerSink.now().Sub(loss.At),
 		})
 	}
-	return append(reports, peerSink.OwnLimits(peerSink.judges())...)
+	return append(reports, peerSink.OwnLimitReports(peerSink.judges())...)
 }
 
 // Told implements exchange.Sink. It applies the reports of another VM.
 func (peerSink told) Told(vm string, reports []pool.Report) {
-	peerSink.Pool.Told(vm, reports)
+	peerSink.Pool.ApplyReports(vm, reports)
 	for _, report := range reports {
 		if report.Fingerprint != fingerprint.None {
 			peerSink.noteRequest(report)
@@ -61,31 +61,31 @@
 // noteRequest records how a request of another VM ended.
 func (peerSink told) noteRequest(report pool.Report) {
 	switch report.Health {
-	case pool.HealthGood:
-		peerSink.quarantine.Served(report.Fingerprint, report.Server)
-	case pool.HealthLost:
-		peerSink.quarantine.LostElsewhere(quarantine.Loss{
-			Fingerprint: report.Fingerprint, Server: report.Server, Ran: report.Phase == pool.PhaseWriting,
+	case pool.HealthSucceeded:
+		peerSink.quarantine.RecordCompletion(report.Fingerprint, report.Server)
+	case pool.HealthConnectionLost:
+		peerSink.quarantine.RecordRemoteLoss(quarantine.Loss{
+			Fingerprint: report.Fingerprint, Server: report.Server, HadEvent: report.Phase == pool.PhaseDecode,
 		}, report.Age)
-	case pool.HealthUntold, pool.HealthFailed, pool.HealthClosed, pool.HealthNotFree, pool.HealthLeaving, pool.HealthResting,
-		pool.HealthLimited, pool.HealthUnlimited:
+	case pool.HealthUnreported, pool.HealthFailed, pool.HealthClosed, pool.HealthUnreportedMemory, pool.HealthDraining, pool.HealthBackoff,
+		pool.HealthRateLimited, pool.HealthNoRateLimit:
 	}
 }
 
 // phaseOf returns the phase of a request when the connection to its server was lost.
 func phaseOf(loss quarantine.Loss) pool.Phase {
-	if loss.Ran {
-		return pool.PhaseWriting
+	if loss.HadEvent {
+		return pool.PhaseDecode
 	}
-	return pool.PhaseReading
+	return pool.PhasePrefill
 }
 
 // Quarantined implements exchange.Sink. It returns the quarantined requests to send to other VMs.
 func (peerSink told) Quarantined() []quarantine.Entry {
-	return peerSink.quarantine.Tell()
+	return peerSink.quarantine.PublishableEntries()
 }
 
 // ToldQuarantined implements exchange.Sink. It applies the quarantined requests of another VM.
 func (peerSink told) ToldQuarantined(entries []quarantine.Entry) {
-	peerSink.quarantine.Told(entries)
+	peerSink.quarantine.ApplyEntries(entries)
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -11,7 +11,7 @@
 
 // place waits for servers with capacity and claims it. It reports false when ctx ended
 // first or the request is rejected.
-func (forwarder *run) place(ctx context.Context) (placement.Plan, *pool.Use, bool) {
+func (forwarder *run) place(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	startedAt := forwarder.gateway.now()
 	plan, use, placed := forwarder.placeElsewhere(ctx)
 	now := forwarder.gateway.now()
@@ -28,7 +28,7 @@
 
 // look places the request by the state of this VM alone and claims capacity at the chosen
 // servers. It reports false if no server has capacity.
-func (forwarder *run) look() (placement.Plan, *pool.Use, bool) {
+func (forwarder *run) look() (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
 	servers := placement.InDataCentres(gateway.open(forwarder.service, forwarder.tried), forwarder.keptTo)
 	if len(servers) == 0 {
@@ -39,7 +39,7 @@
 	if !ok {
 		return placement.Plan{}, nil, false
 	}
-	use, claimed := gateway.pool.StartWithin(plan, request)
+	use, claimed := gateway.pool.StartWithinLimits(plan, request)
 	return plan, use, claimed
 }
 
--- a/internal/gateway/rejection.go
+++ b/internal/gateway/rejection.go
@@ -16,7 +16,7 @@
 // request's deadline for its next event. The request is then rejected at once; the caller's retry
 // goes to another VM, from which the servers may not have requested backoff.
 func (forwarder *run) restTooLong() bool {
-	backoffEnd, allBackingOff := forwarder.gateway.pool.RestOver(forwarder.service, forwarder.keptTo)
+	backoffEnd, allBackingOff := forwarder.gateway.pool.BackoffEnd(forwarder.service, forwarder.keptTo)
 	if !allBackingOff || !backoffEnd.After(forwarder.due(forwarder.placementRequest().Packable())) {
 		return false
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -29,10 +29,10 @@
 		if first {
 			first = false
 			forwarder.hasEvents.Store(true)
-			activeAttempt.use.Read()
+			activeAttempt.use.FinishPrefill()
 			forwarder.observeFirst(activeAttempt)
 		}
-		activeAttempt.use.Event()
+		activeAttempt.use.RecordEvent()
 		if !follows(event.ID, forwarder.lastEvent) {
 			activeAttempt.expect(streamTimeout)
 			continue
@@ -112,7 +112,7 @@
 	}
 	now := forwarder.gateway.now()
 	if now.Sub(startedAt) > slowPass {
-		activeAttempt.use.Interrupted()
+		activeAttempt.use.ResetEventTimer()
 	}
 	activeAttempt.stalled = activeAttempt.stalled || now.Sub(startedAt) > stalledPass
 	forwarder.account.pass(forwarder.arrived, now)
--- a/internal/losses/bound.go
+++ b/internal/losses/bound.go
@@ -64,7 +64,7 @@
 		}
 		from := report.slot(request.Arrived)
 		jobs = append(jobs, job{
-			request: request, work: fleet.Engine.ReadTime(request.Tokens),
+			request: request, work: fleet.Engine.PrefillTime(request.Tokens),
 			from: from, due: report.slot(request.Arrived.Add(request.Objective)),
 		})
 	}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -114,7 +114,7 @@
 func TestBound(t *testing.T) {
 	const second, short = "1000000000", "300000000"
 	// One engine that reads 100 k tokens in a second, pairs not counted.
-	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, ReadPerSecond: 100_000}}
+	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}}
 	for name, test := range map[string]struct {
 		log     string
 		reached int
@@ -146,6 +146,6 @@
 	assert.NilError(t, err)
 	report, err := losses.New(lines)
 	assert.NilError(t, err)
-	engine := catalog.Engine{Slots: 4, ReadPerSecond: 100_000}
+	engine := catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}
 	assert.Equal(t, report.Bound(losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: engine}).Reached, 0)
 }
--- a/internal/placement/lengthaware.go
+++ b/internal/placement/lengthaware.go
@@ -104,7 +104,7 @@
 // bestLongPlan returns the plan with the highest gain over the given servers, its gain, and whether
 // there is one.
 func (lengthaware LengthAware) bestLongPlan(servers []Server, request Request) (Plan, float64, bool) {
-	prefill := request.Engine.ReadTime(request.Tokens)
+	prefill := request.Engine.PrefillTime(request.Tokens)
 	maxParts := min(lengthaware.settings.MaxParts, len(servers), max(1, int(prefill/decodePasses(request.Engine, lengthaware.settings.PartPasses))))
 	best, bestGain, found := Plan{}, 0.0, false
 	buffer := make([]candidate, 0, len(servers))
--- a/internal/placement/packable.go
+++ b/internal/placement/packable.go
@@ -16,7 +16,7 @@
 // meets them, and then the least busy of all servers. The request stays queued while the only
 // servers with a free slot have a long prefill backlog.
 func (lengthaware LengthAware) placePackable(servers []Server, request Request) (Plan, bool) {
-	prefill := request.Engine.ReadTime(request.Tokens)
+	prefill := request.Engine.PrefillTime(request.Tokens)
 	reason := ReasonPacked
 	packed := lengthaware.packedCount(servers, request)
 	best, fits, ok := lengthaware.leastBusy(servers[:packed], request, prefill)
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -18,9 +18,9 @@
 	const gap = 600 * time.Millisecond
 	const context = 150_000
 	request := long(190_000)
-	request.Engine.Stride = 68
-	request.Engine.PerRequest = 2260 * time.Nanosecond
-	request.Engine.PerThousand = 4310 * time.Nanosecond
+	request.Engine.StepsPerPass = 68
+	request.Engine.StepTimePerRequest = 2260 * time.Nanosecond
+	request.Engine.StepTimePerThousandTokens = 4310 * time.Nanosecond
 	for parts := 1; parts <= 8; parts++ {
 		servers := newServers(parts, func(_ int, server *placement.Server) {
 			server.Running, server.OtherWeight, server.OtherInterTokenObjective, server.MinInterTokenObjective = 3, 16, gap, gap
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,8 +26,8 @@
 // newEngine returns an engine with the figures of the users' engines.
 func newEngine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 16, MemoryTokens: memoryTokens, Stride: 43, Step: 1020 * time.Microsecond,
-		ReadPerSecond: 206_000, PairsPerMillion: 138 * time.Microsecond,
+		Slots: 16, MemoryTokens: memoryTokens, StepsPerPass: 43, StepTime: 1020 * time.Microsecond,
+		PrefillTokensPerSecond: 206_000, TimePerMillionPairs: 138 * time.Microsecond,
 	}
 }
 
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -51,7 +51,7 @@
 	}
 	engine := request.Engine
 	context := min(engine.Slots*request.Memory, engine.MemoryTokens)
-	return engine.PassTime(engine.Slots, context)+engine.ReadTime(request.Tokens) <= objective
+	return engine.PassTime(engine.Slots, context)+engine.PrefillTime(request.Tokens) <= objective
 }
 
 // MinTTFT returns the shortest possible time from placing a request to its first event. It assumes
@@ -60,7 +60,7 @@
 	if request.Engine == nil {
 		return 0
 	}
-	prefill := request.Engine.ReadTime(request.Tokens)
+	prefill := request.Engine.PrefillTime(request.Tokens)
 	if !request.Packable() {
 		prefill /= MaxParts
 	}
--- a/internal/pool/active_request.go
+++ b/internal/pool/active_request.go
@@ -13,13 +13,13 @@
 // Values of Phase.
 const (
 	// PhaseUnknown is a phase that this VM's version doesn't support. Such reports are ignored.
-	PhaseNone Phase = iota
+	PhaseUnknown Phase = iota
 	// PhasePrefill is from sending until the first event.
-	PhaseReading
+	PhasePrefill
 	// PhaseDecode is from the first event on.
-	PhaseWriting
+	PhaseDecode
 	// PhaseEnded is when the request is no longer at the server.
-	PhaseOver
+	PhaseEnded
 )
 
 // Report is the state of one attempt, or the health of one server, as VMs send it to each other.
@@ -30,7 +30,7 @@
 	Server string
 	Phase  Phase
 	// PrefillTime is the estimated time of the prefill at this server.
-	Work time.Duration
+	PrefillTime time.Duration
 	// Memory is the KV memory that the request uses there, in tokens. With HealthUnreportedMemory
 	// it is the memory in use that no VM has reported.
 	Memory int
@@ -39,7 +39,7 @@
 	// Tight is set for a request that counts as one with a short Gap.
 	Tight bool
 	// PrefillOnly is set where the server only prefills a part of the prompt for another server.
-	Helps bool
+	PrefillOnly bool
 	// Age is the time since the request was sent or, with HealthConnectionLost, since the
 	// connection was lost: zero in the first report of it. HealthRateLimited and HealthNoRateLimit
 	// define it for themselves.
@@ -48,7 +48,7 @@
 	// second event.
 	Pace float64
 	// Backoff is the remaining duration of the server's backoff.
-	Rest time.Duration
+	Backoff time.Duration
 	// PerSecond is the advertised rate limit of the server in requests per second.
 	PerSecond float64
 	// Health is the outcome to record for the server, or HealthUnreported for a report about an
@@ -64,29 +64,29 @@
 // Values of Health.
 const (
 	// HealthUnreported is for reports about attempts, which leave the server's health as it is.
-	HealthUntold Health = iota
+	HealthUnreported Health = iota
 	// HealthSucceeded is a successful response.
-	HealthGood
+	HealthSucceeded
 	// HealthFailed is a failed request or a timeout.
 	HealthFailed
 	// HealthClosed is a server that accepts no more requests.
 	HealthClosed
 	// HealthUnreportedMemory is KV memory in use that no VM has reported. Its amount is the
 	// report's Memory.
-	HealthNotFree
+	HealthUnreportedMemory
 	// HealthConnectionLost is a connection that broke during the request.
-	HealthLost
+	HealthConnectionLost
 	// HealthDraining is the server's announcement, in a response, that it drains.
-	HealthLeaving
+	HealthDraining
 	// HealthBackoff is the server's request that the reporting VM sends it nothing for the report's
 	// Backoff.
-	HealthResting
+	HealthBackoff
 	// HealthRateLimited is a rate limit on the requests from all VMs together. The report's Age is
 	// the time since it was received.
-	HealthLimited
+	HealthRateLimited
 	// HealthNoRateLimit is a response without a rate limit after an earlier one had advertised it.
 	// The report's Age is the time since the request for that response was sent.
-	HealthUnlimited
+	HealthNoRateLimit
 )
 
 // attempt is a request at one server.
@@ -97,12 +97,12 @@
 	vm     string
 	sentAt time.Time
 	// reportedAt is when that VM last reported it.
-	toldAt time.Time
+	reportedAt time.Time
 }
 
 // ActiveRequest is a request of this VM that is in flight at the servers of one plan. Its methods
 // are safe for concurrent use.
-type Use struct {
+type ActiveRequest struct {
 	pool *Pool
 	// attemptIDs has the attempts. The first is at the server that decodes.
 	attemptIDs []uint64
@@ -116,16 +116,16 @@
 }
 
 // StartWithID records that a request with a reserved ID is sent to the servers of a plan.
-func (pool *Pool) StartAs(id uint64, plan placement.Plan, request placement.Request) *Use {
+func (pool *Pool) StartWithID(id uint64, plan placement.Plan, request placement.Request) *ActiveRequest {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	return pool.start(id, plan, request)
+	return pool.startAttempts(id, plan, request)
 }
 
 // StartWithinLimits records that a request is sent to the servers of a plan that this VM made
 // without the coordinator. It reports false if a server's rate limit has been used up since the
 // plan was made: requests planned concurrently all see the same remaining capacity.
-func (pool *Pool) StartWithin(plan placement.Plan, request placement.Request) (*Use, bool) {
+func (pool *Pool) StartWithinLimits(plan placement.Plan, request placement.Request) (*ActiveRequest, bool) {
 	id := pool.ReserveID()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -135,18 +135,18 @@
 			return nil, false
 		}
 	}
-	return pool.start(id, plan, request), true
+	return pool.startAttempts(id, plan, request), true
 }
 
-func (pool *Pool) start(id uint64, plan placement.Plan, request placement.Request) *Use {
+func (pool *Pool) startAttempts(id uint64, plan placement.Plan, request placement.Request) *ActiveRequest {
 	now := pool.now()
-	activeRequest := &Use{pool: pool}
+	activeRequest := &ActiveRequest{pool: pool}
 	if request.Engine != nil {
 		activeRequest.passTime = request.Engine.PassTime(0, 0) + pool.settings.PassSpare
 	}
-	for _, report := range reports(id, plan, request) {
+	for _, report := range newReports(id, plan, request) {
 		activeRequest.attemptIDs = append(activeRequest.attemptIDs, report.ID)
-		started := pool.add(pool.vm, report, now)
+		started := pool.addAttempt(pool.vm, report, now)
 		pool.own[report.ID] = started
 		pool.publisher.Publish(report)
 	}
@@ -154,14 +154,14 @@
 }
 
 // newReports returns the reports of a request with the given ID, one for each server of a plan.
-func reports(id uint64, plan placement.Plan, request placement.Request) []Report {
+func newReports(id uint64, plan placement.Plan, request placement.Request) []Report {
 	list := make([]Report, 0, 1+len(plan.Helpers))
 	list = append(list, Report{
-		Server: plan.Server.ID, Phase: PhaseReading, Work: plan.PrefillPerServer,
+		Server: plan.Server.ID, Phase: PhasePrefill, PrefillTime: plan.PrefillPerServer,
 		Memory: request.Memory, Gap: request.InterTokenObjective, Tight: plan.Packable,
 	})
 	for _, helper := range plan.Helpers {
-		list = append(list, Report{Server: helper.ID, Phase: PhaseReading, Work: plan.PrefillPerServer, Helps: true})
+		list = append(list, Report{Server: helper.ID, Phase: PhasePrefill, PrefillTime: plan.PrefillPerServer, PrefillOnly: true})
 	}
 	for i := range list {
 		list[i].ID = id + 1 + uint64(i)
@@ -174,50 +174,50 @@
 
 // addAttempt adds an attempt to its server, and returns the existing one if the server has it
 // already. An attempt at an unknown server is only returned.
-func (pool *Pool) add(vm string, report Report, now time.Time) *attempt {
+func (pool *Pool) addAttempt(vm string, report Report, now time.Time) *attempt {
 	server := pool.servers[report.Server]
 	if server == nil {
-		return &attempt{Report: report, vm: vm, sentAt: now, toldAt: now}
+		return &attempt{Report: report, vm: vm, sentAt: now, reportedAt: now}
 	}
 	for _, known := range server.attempts {
 		if known.vm == vm && known.ID == report.ID {
 			return known
 		}
 	}
-	added := &attempt{Report: report, vm: vm, sentAt: now, toldAt: now}
-	pool.place(server, added, now)
+	added := &attempt{Report: report, vm: vm, sentAt: now, reportedAt: now}
+	pool.insertAndCount(server, added, now)
 	return added
 }
 
 // FinishPrefill records the end of the prefill: helpers without KV memory are released, and the first
 // server decodes.
-func (activeRequest *Use) Read() {
+func (activeRequest *ActiveRequest) FinishPrefill() {
 	activeRequest.pool.mu.Lock()
 	defer activeRequest.pool.mu.Unlock()
 	for _, id := range activeRequest.attemptIDs {
-		activeRequest.pool.read(id)
+		activeRequest.pool.finishPrefill(id)
 	}
 }
 
-func (pool *Pool) read(id uint64) {
+func (pool *Pool) finishPrefill(id uint64) {
 	own := pool.own[id]
-	if own == nil || own.Phase != PhaseReading {
+	if own == nil || own.Phase != PhasePrefill {
 		return
 	}
-	if own.Helps && own.Memory == 0 {
-		pool.over(id)
+	if own.PrefillOnly && own.Memory == 0 {
+		pool.finishAttempt(id)
 		return
 	}
-	own.Phase = PhaseWriting
+	own.Phase = PhaseDecode
 	if server := pool.servers[own.Server]; server != nil {
-		server.lastRead = pool.now()
+		server.lastPrefillEnd = pool.now()
 	}
 	pool.publisher.Publish(own.Report)
-	pool.wake()
+	pool.notifyChanged()
 }
 
 // RecordEvent records an event, and updates the server's pace by the time since the last one.
-func (activeRequest *Use) Event() {
+func (activeRequest *ActiveRequest) RecordEvent() {
 	pool := activeRequest.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -232,56 +232,56 @@
 	}
 	if !activeRequest.lastEventAt.IsZero() {
 		own.Pace = now.Sub(activeRequest.lastEventAt).Seconds() / activeRequest.expectedInterval.Seconds()
-		server.learnPace(own.Pace, now, pool.settings)
+		server.updatePace(own.Pace, now, pool.settings)
 	}
 	activeRequest.lastEventAt = now
-	activeRequest.expectedInterval = activeRequest.passTime + server.reading()
+	activeRequest.expectedInterval = activeRequest.passTime + server.pendingPrefill()
 }
 
 // ResetEventTimer records that events were not received for a while for a reason outside of the
 // server, so that the time until the next one doesn't count in its pace.
-func (activeRequest *Use) Interrupted() {
+func (activeRequest *ActiveRequest) ResetEventTimer() {
 	activeRequest.pool.mu.Lock()
 	defer activeRequest.pool.mu.Unlock()
 	activeRequest.lastEventAt = time.Time{}
 }
 
 // Finish records that the request is no longer at its servers. Further calls have no effect.
-func (activeRequest *Use) Over() {
+func (activeRequest *ActiveRequest) Finish() {
 	activeRequest.pool.mu.Lock()
 	defer activeRequest.pool.mu.Unlock()
 	for _, id := range activeRequest.attemptIDs {
-		activeRequest.pool.over(id)
+		activeRequest.pool.finishAttempt(id)
 	}
 }
 
-func (pool *Pool) over(id uint64) {
+func (pool *Pool) finishAttempt(id uint64) {
 	own := pool.own[id]
 	if own == nil {
 		return
 	}
 	delete(pool.own, id)
-	pool.end(own)
+	pool.removeAttempt(own)
 	report := own.Report
-	report.Phase = PhaseOver
+	report.Phase = PhaseEnded
 	pool.publisher.Publish(report)
-	pool.wake()
+	pool.notifyChanged()
 }
 
 // removeAttempt removes an attempt from its server.
-func (pool *Pool) end(ended *attempt) {
+func (pool *Pool) removeAttempt(ended *attempt) {
 	server := pool.servers[ended.Server]
 	if server == nil {
 		return
 	}
-	if ended.Phase == PhaseReading {
-		server.lastRead = pool.now()
+	if ended.Phase == PhasePrefill {
+		server.lastPrefillEnd = pool.now()
 	}
 	server.remove(ended)
 }
 
 // OwnReports returns the reports of this VM's requests in flight.
-func (pool *Pool) Own() []Report {
+func (pool *Pool) OwnReports() []Report {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -23,8 +23,8 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
-	for _, report := range reports(id, plan, request) {
-		pool.add(vm, report, now)
+	for _, report := range newReports(id, plan, request) {
+		pool.addAttempt(vm, report, now)
 	}
 }
 
@@ -39,12 +39,12 @@
 			matches := attempt.vm == vm && attempt.ID > id && attempt.ID <= id+placement.MaxParts
 			if matches {
 				withdrawn = true
-				server.takesBack()
+				server.refundLimits()
 			}
 			return matches
 		})
 	}
 	if withdrawn {
-		pool.wake()
+		pool.notifyChanged()
 	}
 }
--- a/internal/pool/assignment_test.go
+++ b/internal/pool/assignment_test.go
@@ -41,21 +41,21 @@
 	plan, request := splitPlan()
 	// The other VM's reports when it has sent the request, and when the request has ended.
 	reports := []pool.Report{
-		{ID: id + 1, Server: "a", Phase: pool.PhaseReading, Work: plan.PrefillPerServer, Memory: 100_000},
-		{ID: id + 2, Server: "b", Phase: pool.PhaseReading, Work: plan.PrefillPerServer, Memory: 50_000, Helps: true},
+		{ID: id + 1, Server: "a", Phase: pool.PhasePrefill, PrefillTime: plan.PrefillPerServer, Memory: 100_000},
+		{ID: id + 2, Server: "b", Phase: pool.PhasePrefill, PrefillTime: plan.PrefillPerServer, Memory: 50_000, PrefillOnly: true},
 	}
-	ended := []pool.Report{{ID: id + 1, Server: "a", Phase: pool.PhaseOver}, {ID: id + 2, Server: "b", Phase: pool.PhaseOver}}
+	ended := []pool.Report{{ID: id + 1, Server: "a", Phase: pool.PhaseEnded}, {ID: id + 2, Server: "b", Phase: pool.PhaseEnded}}
 	tests := map[string]struct {
 		action       func(fixture *fixture)
 		wantA, wantB int
 	}{
 		"counted at once": {action: func(*fixture) {}, wantA: 100_000, wantB: 50_000},
 		"reported by its VM": {
-			action: func(fixture *fixture) { fixture.Told("vm-2", reports) }, wantA: 100_000, wantB: 50_000,
+			action: func(fixture *fixture) { fixture.ApplyReports("vm-2", reports) }, wantA: 100_000, wantB: 50_000,
 		},
 		"ended by its VM": {action: func(fixture *fixture) {
-			fixture.Told("vm-2", reports)
-			fixture.Told("vm-2", ended)
+			fixture.ApplyReports("vm-2", reports)
+			fixture.ApplyReports("vm-2", ended)
 		}},
 		"withdrawn":                       {action: func(fixture *fixture) { fixture.Withdraw("vm-2", id) }},
 		"another request withdrawn":       {action: func(fixture *fixture) { fixture.Withdraw("vm-2", id+100) }, wantA: 100_000, wantB: 50_000},
@@ -65,7 +65,7 @@
 			action: func(fixture *fixture) {
 				for range 4 {
 					fixture.advance(500 * time.Millisecond)
-					fixture.Told("vm-2", reports)
+					fixture.ApplyReports("vm-2", reports)
 				}
 			}, wantA: 100_000, wantB: 50_000,
 		},
@@ -91,12 +91,12 @@
 	plan, request := splitPlan()
 	id := fixture.ReserveID()
 	fixture.Assign("vm-1", id, plan, request)
-	activeRequest := fixture.StartAs(id, plan, request)
+	activeRequest := fixture.StartWithID(id, plan, request)
 	a, b := fixture.freeMemory()
 	assert.Equal(t, memoryTokens-a, 100_000)
 	assert.Equal(t, memoryTokens-b, 50_000)
 	assert.Assert(t, fixture.ReserveID() > id+placement.MaxParts, "the IDs of two requests overlap")
-	activeRequest.Over()
+	activeRequest.Finish()
 	a, b = fixture.freeMemory()
 	assert.Equal(t, a, memoryTokens)
 	assert.Equal(t, b, memoryTokens)
@@ -105,9 +105,9 @@
 // TestRemoteHealthReports guards against a VM that ignores the failures observed by others:
 // together they make a server suspect, although each VM saw fewer failures than that takes.
 func TestRemoteHealthReports(t *testing.T) {
-	failed := pool.Report{Server: "a", Phase: pool.PhaseOver, Health: pool.HealthFailed}
-	succeeded := pool.Report{Server: "a", Phase: pool.PhaseOver, Health: pool.HealthGood}
-	closed := pool.Report{Server: "a", Phase: pool.PhaseOver, Health: pool.HealthClosed}
+	failed := pool.Report{Server: "a", Phase: pool.PhaseEnded, Health: pool.HealthFailed}
+	succeeded := pool.Report{Server: "a", Phase: pool.PhaseEnded, Health: pool.HealthSucceeded}
+	closed := pool.Report{Server: "a", Phase: pool.PhaseEnded, Health: pool.HealthClosed}
 	tests := map[string]struct {
 		reports         []pool.Report
 		wantSuspect     bool
@@ -123,7 +123,7 @@
 			fixture := newFixture()
 			fixture.Replace([]follower.Change[directory.Entry]{listedEntry("a"), listedEntry("b")})
 			for _, report := range test.reports {
-				fixture.Told("vm-2", []pool.Report{report})
+				fixture.ApplyReports("vm-2", []pool.Report{report})
 			}
 			found := false
 			for _, server := range fixture.Eligible(engines(), nil) {
--- a/internal/pool/backoff_test.go
+++ b/internal/pool/backoff_test.go
@@ -16,7 +16,7 @@
 
 func reportBackoff(id string, duration time.Duration) func(fixture *fixture) {
 	return func(fixture *fixture) {
-		fixture.Told("vm-2", []pool.Report{{Server: id, Phase: pool.PhaseOver, Health: pool.HealthResting, Rest: duration}})
+		fixture.ApplyReports("vm-2", []pool.Report{{Server: id, Phase: pool.PhaseEnded, Health: pool.HealthBackoff, Backoff: duration}})
 	}
 }
 
@@ -29,24 +29,24 @@
 		// other has the servers in backoff for another VM.
 		other []string
 	}{
-		"for this VM":              {action: func(fixture *fixture) { fixture.Rests("s1", 2*time.Second) }, own: []string{"s1"}},
+		"for this VM":              {action: func(fixture *fixture) { fixture.BackOff("s1", 2*time.Second) }, own: []string{"s1"}},
 		"for another VM":           {action: reportBackoff("s1", 2*time.Second), other: []string{"s1"}},
-		"expired":                  {action: func(fixture *fixture) { fixture.Rests("s1", time.Second) }},
+		"expired":                  {action: func(fixture *fixture) { fixture.BackOff("s1", time.Second) }},
 		"expired for another VM":   {action: reportBackoff("s1", time.Second)},
-		"unknown server":           {action: func(fixture *fixture) { fixture.Rests("s9", time.Minute) }},
+		"unknown server":           {action: func(fixture *fixture) { fixture.BackOff("s9", time.Minute) }},
 		"unknown server, reported": {action: reportBackoff("s9", time.Minute)},
 		"shorter backoff after a longer one": {action: func(fixture *fixture) {
-			fixture.Rests("s1", 2*time.Second)
-			fixture.Rests("s1", time.Millisecond)
+			fixture.BackOff("s1", 2*time.Second)
+			fixture.BackOff("s1", time.Millisecond)
 		}, own: []string{"s1"}},
 		"restarted": {action: func(fixture *fixture) {
-			fixture.Rests("s1", time.Minute)
+			fixture.BackOff("s1", time.Minute)
 			later := listedEntry("s1")
 			later.Value.ID, later.Value.Started = "s1#later", fixture.now
 			fixture.Apply([]follower.Change[directory.Entry]{later})
 		}},
 		"list reloaded": {action: func(fixture *fixture) {
-			fixture.Rests("s1", time.Minute)
+			fixture.BackOff("s1", time.Minute)
 			fixture.Replace(listedServers(2))
 		}, own: []string{"s1"}},
 	} {
@@ -69,12 +69,12 @@
 func TestBackoffIsPublishedAgain(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(2))
-	fixture.Rests("s1", 3*time.Second)
+	fixture.BackOff("s1", 3*time.Second)
 	fixture.advance(time.Second)
 	fixture.Find("engines", nil, []string{"s1"})
-	first := pool.Report{Server: "s1", Phase: pool.PhaseOver, Health: pool.HealthResting, Rest: 3 * time.Second}
+	first := pool.Report{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthBackoff, Backoff: 3 * time.Second}
 	repeated := first
-	repeated.Rest = 2 * time.Second
+	repeated.Backoff = 2 * time.Second
 	assert.DeepEqual(t, fixture.publisher.reports, []pool.Report{first, repeated})
 }
 
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := fmt.Sprintf("s%d", rapid.IntRange(1, 4).Draw(t, "server"))
 			duration := time.Duration(rapid.IntRange(0, 5000).Draw(t, "long")) * time.Millisecond
-			fixture.Rests(id, duration)
+			fixture.BackOff(id, duration)
 			all = append(all, backoff{server: id, until: fixture.now.Add(duration)})
 			fixture.advance(time.Duration(rapid.IntRange(0, 2000).Draw(t, "passes")) * time.Millisecond)
 			latest := make(map[string]time.Time)
@@ -102,7 +102,7 @@
 				}
 			}
 			assert.Equal(t, len(fixture.BackoffServers("vm-1")), len(latest))
-			end, allInBackoff := fixture.RestOver(engines(), nil)
+			end, allInBackoff := fixture.BackoffEnd(engines(), nil)
 			assert.Equal(t, allInBackoff, len(latest) == 4)
 			for _, until := range latest {
 				assert.Assert(t, !allInBackoff || !until.Before(end))
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -42,19 +42,19 @@
 		}})
 		for range 8 {
 			reports = append(reports, pool.Report{
-				ID: uint64(len(reports)), Server: id, Phase: pool.PhaseWriting, Memory: 5000, Gap: time.Second, Pace: 1.1,
+				ID: uint64(len(reports)), Server: id, Phase: pool.PhaseDecode, Memory: 5000, Gap: time.Second, Pace: 1.1,
 			})
 		}
 	}
 	servers.Replace(entries)
 	for i := range limited {
-		servers.Limits(fmt.Sprintf("engine-%d", i), 1000)
+		servers.RecordRateLimit(fmt.Sprintf("engine-%d", i), 1000)
 	}
 	service := &catalog.Service{Name: "engines", Engine: &catalog.Engine{MemoryTokens: 232_000}}
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		servers.Told("vm-2", reports) // keeps them from expiring
+		servers.ApplyReports("vm-2", reports) // keeps them from expiring
 		b.StartTimer()
 		servers.Eligible(service, nil)
 	}
@@ -89,6 +89,6 @@
 	servers.Replace(listedServers(3000))
 	b.ReportAllocs()
 	for b.Loop() {
-		servers.OwnLimits(false)
+		servers.OwnLimitReports(false)
 	}
 }
--- a/internal/pool/cold_start.go
+++ b/internal/pool/cold_start.go
@@ -12,7 +12,7 @@
 type coldStart struct {
 	until time.Time
 	// limit bounds the requests from all VMs together until then.
-	limit backpressure.Limit
+	limit backpressure.RateLimit
 }
 
 // Configure sets the rate of requests that cold servers of each service accept.
@@ -25,12 +25,12 @@
 			pool.coldPerSecond[service.Name] = service.ColdPerSecond
 		}
 	}
-	pool.wake()
+	pool.notifyChanged()
 }
 
 // setColdStart sets the remaining time for which a server is cold, as just reported. Requests
 // already counted against an ongoing cold start stay counted.
-func (pool *Pool) noteCold(server *server, remaining time.Duration) {
+func (pool *Pool) setColdStart(server *server, remaining time.Duration) {
 	if remaining <= 0 {
 		server.coldStart = nil
 		return
@@ -44,7 +44,7 @@
 
 // activeColdStart returns the cold start that limits a server now, or nil for a warm server or a
 // service without a limit for cold servers.
-func (pool *Pool) coldNow(server *server, now time.Time) *coldStart {
+func (pool *Pool) activeColdStart(server *server, now time.Time) *coldStart {
 	if server.coldStart == nil {
 		return nil
 	}
@@ -56,6 +56,6 @@
 	if perSecond == 0 {
 		return nil
 	}
-	server.coldStart.limit, _ = server.coldStart.limit.WithNamed(perSecond, now)
+	server.coldStart.limit, _ = server.coldStart.limit.WithAdvertised(perSecond, now)
 	return server.coldStart
 }
--- a/internal/pool/cold_start_test.go
+++ b/internal/pool/cold_start_test.go
@@ -55,7 +55,7 @@
 		"no limit configured for cold servers": {action: func(fixture *fixture) { fixture.Configure(nil) }, eligible: true},
 		"assigned request withdrawn":           {action: func(fixture *fixture) { fixture.Withdraw("vm-2", 100) }, eligible: true},
 		"lower rate limit advertised too": {action: func(fixture *fixture) {
-			fixture.Limits("s1", 0.5)
+			fixture.RecordRateLimit("s1", 0.5)
 			fixture.advance(1100 * time.Millisecond)
 			assignWithID(fixture, 200)
 		}},
--- a/internal/pool/evacuation.go
+++ b/internal/pool/evacuation.go
@@ -8,7 +8,7 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	pool.evacuated = slices.Clone(dataCentres)
-	pool.wake()
+	pool.notifyChanged()
 }
 
 func (pool *Pool) isEvacuated(server *server) bool {
@@ -23,7 +23,7 @@
 	now := pool.now()
 	excluded := false
 	for _, server := range pool.byService[service] {
-		if !server.in(allowed) || !pool.stays(server, now) {
+		if !server.inDataCentres(allowed) || !pool.isUsable(server, now) {
 			continue
 		}
 		if !pool.isEvacuated(server) {
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -6,51 +6,51 @@
 )
 
 // RecordSuccess records that a server answered a request successfully, and publishes it.
-func (pool *Pool) Succeeded(id string, request fingerprint.Fingerprint) {
+func (pool *Pool) RecordSuccess(id string, request fingerprint.Fingerprint) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.succeeded(id)
-	pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthGood, Fingerprint: request})
+	pool.recordSuccess(id)
+	pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthSucceeded, Fingerprint: request})
 }
 
-func (pool *Pool) succeeded(id string) {
+func (pool *Pool) recordSuccess(id string) {
 	if server := pool.servers[id]; server != nil {
-		server.ejection.Succeeded()
+		server.ejection.RecordSuccess()
 	}
 }
 
 // RecordFailure records a failure of a server, publishes it, and reports whether the server is
 // suspect now.
-func (pool *Pool) Failed(id string) bool {
+func (pool *Pool) RecordFailure(id string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthFailed})
-	return pool.failed(id)
+	pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthFailed})
+	return pool.recordFailure(id)
 }
 
 // RecordConnectionLoss records that the connection to a server broke during a request, which counts
 // as a failure, publishes it, and reports whether the server is suspect now. The phase is that of
 // the request when the connection broke.
-func (pool *Pool) FailedUnder(id string, request fingerprint.Fingerprint, phase Phase) bool {
+func (pool *Pool) RecordConnectionLoss(id string, request fingerprint.Fingerprint, phase Phase) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.publisher.Publish(Report{Server: id, Phase: phase, Health: HealthLost, Fingerprint: request})
-	return pool.failed(id)
+	pool.publisher.Publish(Report{Server: id, Phase: phase, Health: HealthConnectionLost, Fingerprint: request})
+	return pool.recordFailure(id)
 }
 
-func (pool *Pool) failed(id string) bool {
+func (pool *Pool) recordFailure(id string) bool {
 	server := pool.servers[id]
 	if server == nil {
 		return false
 	}
-	return server.ejection.Failed(pool.now(), pool.settings.ejection())
+	return server.ejection.RecordFailure(pool.now(), pool.settings.ejection())
 }
 
 // MarkClosed records a server's own response that it accepts no more requests, and publishes it.
-func (pool *Pool) Closed(id string) {
+func (pool *Pool) MarkClosed(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthClosed})
+	pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthClosed})
 	pool.closed(id)
 }
 
@@ -64,29 +64,29 @@
 
 // MarkDraining records that a server announced its draining in a response. The server list may lack
 // this while its source is unavailable, and the server would continue to get requests.
-func (pool *Pool) Leaves(id string) {
+func (pool *Pool) MarkDraining(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if pool.leaves(id, pool.vm) {
-		pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthLeaving})
+	if pool.markDraining(id, pool.vm) {
+		pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthDraining})
 	}
 }
 
 // markDraining reports whether the server was not known to drain before. The mark stays for this
 // start of the server, even if a later list entry lacks it.
-func (pool *Pool) leaves(id, reportedBy string) bool {
+func (pool *Pool) markDraining(id, reportedBy string) bool {
 	server := pool.servers[id]
 	if server == nil || server.entry.Leaving {
 		return false
 	}
 	server.entry.Leaving = true
-	server.leavingToldBy = reportedBy
+	server.drainingReportedBy = reportedBy
 	pool.logger.Info("server is draining", "server", id, "told_by", reportedBy)
 	return true
 }
 
 // Draining returns the number of servers known to be draining.
-func (pool *Pool) Leaving() int {
+func (pool *Pool) Draining() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	draining := 0
@@ -102,7 +102,7 @@
 // little for a request that wants the given number of tokens and is already recorded there. Memory
 // in use beyond the recorded requests counts from now on, at all VMs. It mostly belongs to a VM
 // that was killed, and the server frees it when its reservation is not renewed.
-func (pool *Pool) NotFree(service *catalog.Service, id string, wanted, free int) {
+func (pool *Pool) RecordFreeMemory(service *catalog.Service, id string, wanted, free int) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	server := pool.servers[id]
@@ -114,54 +114,54 @@
 		known += attempt.Memory
 	}
 	hidden := max(0, service.Engine.MemoryTokens-free-known)
-	pool.hide(server, hidden)
-	pool.publisher.Publish(Report{Server: id, Phase: PhaseOver, Health: HealthNotFree, Memory: hidden})
+	pool.setHiddenMemory(server, hidden)
+	pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthUnreportedMemory, Memory: hidden})
 }
 
 // setHiddenMemory counts memory in use that no VM reported. The period doubles on each repetition,
 // up to Settings.HiddenMax, and starts again at Settings.HiddenMin if the last one ended more than
 // HiddenMax ago: mostly such memory belongs to a request that just ended, and is released within
 // moments.
-func (pool *Pool) hide(server *server, tokens int) {
+func (pool *Pool) setHiddenMemory(server *server, tokens int) {
 	now := pool.now()
 	settings := pool.settings
 	if now.Sub(server.hiddenUntil) > settings.HiddenMax {
-		server.hiddenFor = 0
+		server.hiddenDuration = 0
 	}
-	server.hidden = tokens
-	server.hiddenFor = min(settings.HiddenMax, max(settings.HiddenMin, 2*server.hiddenFor))
-	server.hiddenUntil = now.Add(server.hiddenFor)
+	server.hiddenMemory = tokens
+	server.hiddenDuration = min(settings.HiddenMax, max(settings.HiddenMin, 2*server.hiddenDuration))
+	server.hiddenUntil = now.Add(server.hiddenDuration)
 }
 
 // applyHealth applies another VM's report about the health of a server.
-func (pool *Pool) toldHealth(vm string, report Report) {
+func (pool *Pool) applyHealth(vm string, report Report) {
 	switch report.Health {
-	case HealthGood:
-		pool.succeeded(report.Server)
+	case HealthSucceeded:
+		pool.recordSuccess(report.Server)
 	case HealthFailed:
-		pool.failed(report.Server)
-	case HealthLost:
+		pool.recordFailure(report.Server)
+	case HealthConnectionLost:
 		// Repeated reports have an age and were counted before. Counting them again made a server
 		// suspect for five failures after one broken response.
 		if report.Age == 0 {
-			pool.failed(report.Server)
+			pool.recordFailure(report.Server)
 		}
 	case HealthClosed:
 		pool.closed(report.Server)
-	case HealthNotFree:
+	case HealthUnreportedMemory:
 		if server := pool.servers[report.Server]; server != nil {
-			pool.hide(server, report.Memory)
+			pool.setHiddenMemory(server, report.Memory)
 		}
-	case HealthLeaving:
-		pool.leaves(report.Server, vm)
-	case HealthResting:
+	case HealthDraining:
+		pool.markDraining(report.Server, vm)
+	case HealthBackoff:
 		if pool.servers[report.Server] != nil {
-			pool.rests.Add(vm, report.Server, pool.now().Add(report.Rest))
+			pool.inBackoff.Add(vm, report.Server, pool.now().Add(report.Backoff))
 		}
-	case HealthLimited:
-		pool.limited(report.Server, vm, report.PerSecond, pool.now().Add(-report.Age))
-	case HealthUnlimited:
-		pool.unlimited(report.Server, vm, pool.now().Add(-report.Age))
-	case HealthUntold:
+	case HealthRateLimited:
+		pool.recordRateLimit(report.Server, vm, report.PerSecond, pool.now().Add(-report.Age))
+	case HealthNoRateLimit:
+		pool.recordNoRateLimit(report.Server, vm, pool.now().Add(-report.Age))
+	case HealthUnreported:
 	}
 }
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -14,17 +14,17 @@
 
 // rateLimitReport is the report of a rate limit that was received the given time ago.
 func rateLimitReport(age time.Duration) pool.Report {
-	return pool.Report{Server: "s1", Phase: pool.PhaseOver, Health: pool.HealthLimited, PerSecond: 2, Age: age}
+	return pool.Report{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthRateLimited, PerSecond: 2, Age: age}
 }
 
 // noRateLimitReport is the report of a response without a limit, requested the given time ago.
 func noRateLimitReport(age time.Duration) pool.Report {
-	return pool.Report{Server: "s1", Phase: pool.PhaseOver, Health: pool.HealthUnlimited, Age: age}
+	return pool.Report{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthNoRateLimit, Age: age}
 }
 
 // attemptReport is the report of another VM's request at server s1, sent the given time ago.
 func attemptReport(number uint64, age time.Duration) pool.Report {
-	return pool.Report{ID: number, Server: "s1", Phase: pool.PhaseReading, Age: age}
+	return pool.Report{ID: number, Server: "s1", Phase: pool.PhasePrefill, Age: age}
 }
 
 // TestRateLimitCountsAllVMs guards against exceeding a server's limit by requests of other VMs. The
@@ -45,12 +45,12 @@
 				Server: placement.Server{ID: "s2"}, Helpers: []placement.Server{{ID: "s1"}},
 			}, placement.Request{})
 		}},
-		"request of another VM":       {action: func(fixture *fixture) { fixture.Told("vm-2", []pool.Report{attemptReport(1, 0)}) }},
-		"old request":                 {action: func(fixture *fixture) { fixture.Told("vm-2", []pool.Report{attemptReport(1, 3*time.Second)}) }, eligible: true},
+		"request of another VM":       {action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{attemptReport(1, 0)}) }},
+		"old request":                 {action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{attemptReport(1, 3*time.Second)}) }, eligible: true},
 		"request assigned by this VM": {action: assign},
 		"request assigned by this VM and reported": {action: func(fixture *fixture) {
 			assign(fixture)
-			fixture.Told("vm-2", []pool.Report{attemptReport(101, 0)})
+			fixture.ApplyReports("vm-2", []pool.Report{attemptReport(101, 0)})
 		}},
 		"assigned request withdrawn": {action: func(fixture *fixture) {
 			assign(fixture)
@@ -70,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			fixture := newFixture()
 			fixture.Replace(listedServers(2))
-			fixture.Limits("s1", 1)
+			fixture.RecordRateLimit("s1", 1)
 			test.action(fixture)
 			fixture.advance(500 * time.Millisecond)
 			want := []string{"s2"}
@@ -115,61 +115,61 @@
 		published, own, all []pool.Report
 	}{
 		"no action":                {action: func(*fixture) {}},
-		"unknown server":           {action: func(fixture *fixture) { fixture.Limits("s9", 2) }},
-		"response without a limit": {action: func(fixture *fixture) { fixture.LiftsLimit("s1", fixture.now) }},
+		"unknown server":           {action: func(fixture *fixture) { fixture.RecordRateLimit("s9", 2) }},
+		"response without a limit": {action: func(fixture *fixture) { fixture.RecordNoRateLimit("s1", fixture.now) }},
 		"advertised": {
-			action:    func(fixture *fixture) { fixture.Limits("s1", 2) },
+			action:    func(fixture *fixture) { fixture.RecordRateLimit("s1", 2) },
 			published: []pool.Report{advertised}, own: []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"advertised again": {
 			action: func(fixture *fixture) {
-				fixture.Limits("s1", 2)
+				fixture.RecordRateLimit("s1", 2)
 				fixture.advance(time.Minute)
-				fixture.Limits("s1", 2)
+				fixture.RecordRateLimit("s1", 2)
 			},
 			published: []pool.Report{advertised}, own: []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"advertised long ago": {
 			action: func(fixture *fixture) {
-				fixture.Limits("s1", 2)
+				fixture.RecordRateLimit("s1", 2)
 				fixture.advance(time.Minute)
 			},
 			published: []pool.Report{advertised}, all: []pool.Report{rateLimitReport(61 * time.Second)},
 		},
 		"lifted": {
 			action: func(fixture *fixture) {
-				fixture.Limits("s1", 2)
+				fixture.RecordRateLimit("s1", 2)
 				fixture.advance(time.Second)
-				fixture.LiftsLimit("s1", fixture.now)
-				fixture.LiftsLimit("s1", fixture.now)
+				fixture.RecordNoRateLimit("s1", fixture.now)
+				fixture.RecordNoRateLimit("s1", fixture.now)
 			},
 			published: []pool.Report{advertised, noRateLimitReport(0)},
 			own:       []pool.Report{noRateLimitReport(time.Second)}, all: []pool.Report{noRateLimitReport(time.Second)},
 		},
 		"response to a request sent before the limit was received": {
 			action: func(fixture *fixture) {
-				fixture.Limits("s1", 2)
-				fixture.LiftsLimit("s1", fixture.now)
+				fixture.RecordRateLimit("s1", 2)
+				fixture.RecordNoRateLimit("s1", fixture.now)
 			},
 			published: []pool.Report{advertised}, own: []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"reported by another VM": {
-			action: func(fixture *fixture) { fixture.Told("vm-2", []pool.Report{advertised}) },
+			action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{advertised}) },
 			own:    []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"report repeated shortly after": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", []pool.Report{advertised})
+				fixture.ApplyReports("vm-2", []pool.Report{advertised})
 				fixture.advance(50 * time.Millisecond)
-				fixture.Told("vm-2", []pool.Report{advertised})
+				fixture.ApplyReports("vm-2", []pool.Report{advertised})
 			},
 			own: []pool.Report{rateLimitReport(1050 * time.Millisecond)}, all: []pool.Report{rateLimitReport(1050 * time.Millisecond)},
 		},
 		"only the coordinator has the limit": {
 			action: func(fixture *fixture) {
-				fixture.WatchLimit("s1")
-				fixture.LiftsLimit("s1", fixture.now)
-				fixture.LiftsLimit("s1", fixture.now)
+				fixture.WatchRateLimit("s1")
+				fixture.RecordNoRateLimit("s1", fixture.now)
+				fixture.RecordNoRateLimit("s1", fixture.now)
 			},
 			published: []pool.Report{noRateLimitReport(0)},
 		},
@@ -180,8 +180,8 @@
 			test.action(fixture)
 			assert.DeepEqual(t, fixture.publisher.reports, test.published)
 			fixture.advance(time.Second)
-			assert.DeepEqual(t, fixture.OwnLimits(false), test.own)
-			assert.DeepEqual(t, fixture.OwnLimits(true), test.all)
+			assert.DeepEqual(t, fixture.OwnLimitReports(false), test.own)
+			assert.DeepEqual(t, fixture.OwnLimitReports(true), test.all)
 		})
 	}
 }
@@ -191,13 +191,13 @@
 func TestConcurrentPlansShareRateLimit(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(1))
-	fixture.Limits("s1", 1)
+	fixture.RecordRateLimit("s1", 1)
 	plan := placement.Plan{Server: fixture.server(t, "s1")}
-	_, first := fixture.StartWithin(plan, placement.Request{})
-	_, second := fixture.StartWithin(plan, placement.Request{})
+	_, first := fixture.StartWithinLimits(plan, placement.Request{})
+	_, second := fixture.StartWithinLimits(plan, placement.Request{})
 	assert.Assert(t, first && !second)
 	fixture.advance(1100 * time.Millisecond)
-	_, third := fixture.StartWithin(plan, placement.Request{})
+	_, third := fixture.StartWithinLimits(plan, placement.Request{})
 	assert.Assert(t, third)
 }
 
@@ -211,23 +211,23 @@
 		acceptedRate float64
 	}{
 		"no other state":                  {action: func(*fixture) {}, eligible: []string{"s1", "s2"}, acceptedRate: 5},
-		"in backoff for this VM":          {action: func(fixture *fixture) { fixture.Rests("s1", time.Minute) }, eligible: []string{"s1", "s2"}, acceptedRate: 3},
+		"in backoff for this VM":          {action: func(fixture *fixture) { fixture.BackOff("s1", time.Minute) }, eligible: []string{"s1", "s2"}, acceptedRate: 3},
 		"in backoff for another VM":       {action: reportBackoff("s1", time.Minute), eligible: []string{"s1", "s2"}, acceptedRate: 5},
-		"both servers in backoff":         {action: func(fixture *fixture) { fixture.Rests("s1", time.Minute); fixture.Rests("s2", time.Minute) }, eligible: []string{"s1", "s2"}},
-		"draining reported in a response": {action: func(fixture *fixture) { fixture.Leaves("s1") }, eligible: []string{"s2"}, acceptedRate: 3},
+		"both servers in backoff":         {action: func(fixture *fixture) { fixture.BackOff("s1", time.Minute); fixture.BackOff("s2", time.Minute) }, eligible: []string{"s1", "s2"}},
+		"draining reported in a response": {action: func(fixture *fixture) { fixture.MarkDraining("s1") }, eligible: []string{"s2"}, acceptedRate: 3},
 		"draining by its entry":           {action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{drainingEntry()}) }, eligible: []string{"s2"}, acceptedRate: 3},
-		"address of another server":       {action: func(fixture *fixture) { fixture.Closed("s1") }, eligible: []string{"s2"}, acceptedRate: 3},
+		"address of another server":       {action: func(fixture *fixture) { fixture.MarkClosed("s1") }, eligible: []string{"s2"}, acceptedRate: 3},
 		"limit of the other server lifted": {action: func(fixture *fixture) {
 			fixture.advance(time.Millisecond)
-			fixture.LiftsLimit("s2", fixture.now)
+			fixture.RecordNoRateLimit("s2", fixture.now)
 			fixture.advance(3 * time.Second)
 		}, eligible: []string{"s1", "s2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newFixture()
 			fixture.Replace(listedServers(2))
-			fixture.Limits("s1", 2)
-			fixture.Limits("s2", 3)
+			fixture.RecordRateLimit("s1", 2)
+			fixture.RecordRateLimit("s2", 3)
 			test.action(fixture)
 			assert.DeepEqual(t, fixture.eligible(), test.eligible)
 			perSecond, limited := fixture.AcceptedRate("engines", nil, "vm-1")
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -15,10 +15,10 @@
 
 // packOrderKey is the rendezvous key of the order in which requests with short event gaps fill the
 // servers.
-const packOrder = "pack"
+const packOrderKey = "pack"
 
 // listSource names the server list as the source of a state, in log lines and in ServerStatus.
-const toldByList = "list"
+const listSource = "list"
 
 // Replace implements follower.Listener: known servers that are not among values are marked missing.
 func (pool *Pool) Replace(values []follower.Change[directory.Entry]) {
@@ -31,10 +31,10 @@
 	}
 	for key := range pool.listed {
 		if !listed[key] {
-			pool.miss(key)
+			pool.markMissing(key)
 		}
 	}
-	pool.arrange()
+	pool.rebuildIndex()
 }
 
 // Apply implements follower.Listener.
@@ -44,7 +44,7 @@
 	for _, change := range changes {
 		pool.apply(change, true)
 	}
-	pool.arrange()
+	pool.rebuildIndex()
 }
 
 // Lost implements follower.Listener.
@@ -59,18 +59,18 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	pool.sourceLost = false
-	pool.returned = pool.now()
+	pool.sourceRegainedAt = pool.now()
 }
 
 // apply applies a change of a list entry. A fresh entry was written just now. Others may be old, so
 // the remaining time of their cold start counts from when it was first received.
 func (pool *Pool) apply(change follower.Change[directory.Entry], fresh bool) {
 	if change.Bad {
-		pool.spoil(change.Key)
+		pool.markEntryInvalid(change.Key)
 		return
 	}
 	if change.Value == nil {
-		pool.miss(change.Key)
+		pool.markMissing(change.Key)
 		return
 	}
 	entry := *change.Value
@@ -90,41 +90,41 @@
 	if known == nil {
 		added := &server{entry: entry}
 		if entry.Leaving {
-			added.leavingToldBy = toldByList
+			added.drainingReportedBy = listSource
 		}
 		pool.servers[entry.ID] = added
-		pool.noteCold(added, entry.ColdLeft)
+		pool.setColdStart(added, entry.ColdLeft)
 		pool.logger.Debug("server listed", "server", entry.ID, "service", entry.Service,
 			"address", entry.Address, "leaving", entry.Leaving)
 		return
 	}
 	if fresh || entry.ColdLeft != known.entry.ColdLeft {
-		pool.noteCold(known, entry.ColdLeft)
+		pool.setColdStart(known, entry.ColdLeft)
 	}
 	if entry.Leaving && !known.entry.Leaving {
-		known.leavingToldBy = toldByList
-		pool.logger.Info("server is draining", "server", entry.ID, "told_by", toldByList)
+		known.drainingReportedBy = listSource
+		pool.logger.Info("server is draining", "server", entry.ID, "told_by", listSource)
 	}
 	// A draining server never accepts new requests again.
 	entry.Leaving = entry.Leaving || known.entry.Leaving
 	known.entry = entry
 	known.missingSince = time.Time{}
-	known.spoilt = false
+	known.entryInvalid = false
 }
 
 // markEntryInvalid records that a server's entry cannot be parsed. It is unknown who wrote the
 // entry and whether the server still exists, so the server gets no requests until its entry is
 // valid again.
-func (pool *Pool) spoil(key string) {
+func (pool *Pool) markEntryInvalid(key string) {
 	if known := pool.servers[pool.listed[key]]; known != nil {
-		known.spoilt = true
+		known.entryInvalid = true
 		pool.logger.Warn("server disabled: its list entry is invalid", "server", known.entry.ID)
 	}
 }
 
 // markMissing records that a server is no longer listed. While the source of the list is
 // unavailable, and shortly after, entries expire although their servers still run.
-func (pool *Pool) miss(key string) {
+func (pool *Pool) markMissing(key string) {
 	id := pool.listed[key]
 	known := pool.servers[id]
 	if known == nil || !known.missingSince.IsZero() {
@@ -135,21 +135,21 @@
 }
 
 // isGone reports whether a missing server counts as removed.
-func (pool *Pool) gone(server *server, now time.Time) bool {
+func (pool *Pool) isGone(server *server, now time.Time) bool {
 	if server.missingSince.IsZero() {
 		return false
 	}
-	maybeStale := pool.sourceLost || now.Before(pool.returned.Add(pool.settings.ReturnTime))
+	maybeStale := pool.sourceLost || now.Before(pool.sourceRegainedAt.Add(pool.settings.ReturnTime))
 	return !maybeStale
 }
 
 // rebuildIndex drops removed servers that have no attempts, and sorts the others by service.
-func (pool *Pool) arrange() {
+func (pool *Pool) rebuildIndex() {
 	now := pool.now()
 	maps.DeleteFunc(pool.listed, func(_, id string) bool { return pool.servers[id] == nil })
 	byService := make(map[string][]*server)
 	for id, server := range pool.servers {
-		if (server.replaced || pool.gone(server, now)) && len(server.attempts) == 0 {
+		if (server.replaced || pool.isGone(server, now)) && len(server.attempts) == 0 {
 			delete(pool.servers, id)
 			delete(pool.limits, id)
 			continue
@@ -157,21 +157,21 @@
 		service := server.entry.Service
 		byService[service] = append(byService[service], server)
 	}
-	pool.rests.Forget(func(id string) bool { return pool.servers[id] != nil })
+	pool.inBackoff.Retain(func(id string) bool { return pool.servers[id] != nil })
 	for _, servers := range byService {
-		order(servers)
+		sortByRank(servers)
 	}
 	pool.byService = byService
-	pool.wake()
+	pool.notifyChanged()
 }
 
-func order(servers []*server) {
+func sortByRank(servers []*server) {
 	ids := make([]string, 0, len(servers))
 	for _, server := range servers {
 		ids = append(ids, server.entry.ID)
 	}
 	ranks := make(map[string]int, len(ids))
-	for rank, id := range rendezvous.Order(packOrder, ids) {
+	for rank, id := range rendezvous.Order(packOrderKey, ids) {
 		ranks[id] = rank
 	}
 	slices.SortFunc(servers, func(a, b *server) int {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -33,14 +33,14 @@
 	byService map[string][]*server
 	// sourceLost is set while the source of the list is unavailable, and sourceRegainedAt is when
 	// it last became available again.
-	sourceLost bool
-	returned   time.Time
+	sourceLost       bool
+	sourceRegainedAt time.Time
 	// evacuated has the data centres that the operator has evacuated.
 	evacuated []string
 	// own has the attempts of this VM's requests in flight, by ID.
 	own map[uint64]*attempt
 	// inBackoff has the servers in backoff, by the VM from which they accept nothing.
-	rests backpressure.Rests
+	inBackoff backpressure.Backoffs
 	// coldPerSecond has the requests per second that a cold server accepts, by service.
 	coldPerSecond map[string]float64
 	// limits has the servers with advertised rate limits by ID, so that reporting them takes no
@@ -73,7 +73,7 @@
 		listed:    make(map[string]string),
 		byService: make(map[string][]*server),
 		own:       make(map[uint64]*attempt),
-		rests:     make(backpressure.Rests),
+		inBackoff: make(backpressure.Backoffs),
 		limits:    make(map[string]*server),
 		nextID:    rand.Uint64(), //nolint:gosec // not security-sensitive
 		changed:   make(chan struct{}),
@@ -91,12 +91,12 @@
 	var expired []placement.Server
 	limited := 0
 	share := sync.OnceValue(pool.publisher.Share)
-	slow := pool.settings.SlowTimes * pool.usualPace(service, now)
+	slow := pool.settings.SlowTimes * pool.medianPace(service, now)
 	for _, server := range pool.byService[service.Name] {
-		if !pool.takes(server, now) || slices.Contains(tried, server.entry.ID) {
+		if !pool.acceptsRequests(server, now) || slices.Contains(tried, server.entry.ID) {
 			continue
 		}
-		pool.forget(server, now)
+		pool.dropExpired(server, now)
 		if !pool.withinLimits(server, share, now) {
 			limited++
 			continue
@@ -127,13 +127,13 @@
 	now := pool.now()
 	for _, id := range ids {
 		server := pool.servers[id]
-		if server == nil || server.entry.Service != service || !server.in(allowed) || !pool.takes(server, now) {
+		if server == nil || server.entry.Service != service || !server.inDataCentres(allowed) || !pool.acceptsRequests(server, now) {
 			unavailable = append(unavailable, id)
 			continue
 		}
-		if until, inBackoff := pool.rests.Over(pool.vm, id, now); inBackoff {
+		if until, inBackoff := pool.inBackoff.End(pool.vm, id, now); inBackoff {
 			unavailable = append(unavailable, id)
-			pool.tellRest(id, until.Sub(now))
+			pool.publishBackoff(id, until.Sub(now))
 			continue
 		}
 		found = append(found, server.snapshot(now, pool.settings))
@@ -142,18 +142,18 @@
 }
 
 // acceptsRequests reports whether a server may get new requests.
-func (pool *Pool) takes(server *server, now time.Time) bool {
-	return !pool.isEvacuated(server) && pool.stays(server, now)
+func (pool *Pool) acceptsRequests(server *server, now time.Time) bool {
+	return !pool.isEvacuated(server) && pool.isUsable(server, now)
 }
 
 // isUsable is acceptsRequests without regard to evacuations.
-func (pool *Pool) stays(server *server, now time.Time) bool {
-	excluded := server.entry.Leaving || server.closed || server.replaced || server.spoilt
-	return !excluded && !pool.gone(server, now)
+func (pool *Pool) isUsable(server *server, now time.Time) bool {
+	excluded := server.entry.Leaving || server.closed || server.replaced || server.entryInvalid
+	return !excluded && !pool.isGone(server, now)
 }
 
 // medianPace is the median pace of a service's servers, at least one.
-func (pool *Pool) usualPace(service *catalog.Service, now time.Time) float64 {
+func (pool *Pool) medianPace(service *catalog.Service, now time.Time) float64 {
 	servers := pool.byService[service.Name]
 	if len(servers) == 0 {
 		return 1
@@ -174,7 +174,7 @@
 	return pool.changed
 }
 
-func (pool *Pool) wake() {
+func (pool *Pool) notifyChanged() {
 	close(pool.changed)
 	pool.changed = make(chan struct{})
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -49,8 +49,8 @@
 }
 
 // Start records that a request is sent to the servers of a plan.
-func (fixture *fixture) Start(plan placement.Plan, request placement.Request) *pool.Use {
-	return fixture.StartAs(fixture.ReserveID(), plan, request)
+func (fixture *fixture) Start(plan placement.Plan, request placement.Request) *pool.ActiveRequest {
+	return fixture.StartWithID(fixture.ReserveID(), plan, request)
 }
 
 func (fixture *fixture) advance(duration time.Duration) {
@@ -83,8 +83,8 @@
 
 func engines() *catalog.Service {
 	return &catalog.Service{Name: "engines", Engine: &catalog.Engine{
-		MemoryTokens: memoryTokens, Stride: 43, Step: time.Millisecond, ReadPerSecond: 206_000,
-		PairsPerMillion: 138 * time.Microsecond,
+		MemoryTokens: memoryTokens, StepsPerPass: 43, StepTime: time.Millisecond, PrefillTokensPerSecond: 206_000,
+		TimePerMillionPairs: 138 * time.Microsecond,
 	}}
 }
 
@@ -144,7 +144,7 @@
 			want:   []string{"s1", "s2"},
 		},
 		"closed": {
-			change: func(fixture *fixture) { fixture.Closed("s3") },
+			change: func(fixture *fixture) { fixture.MarkClosed("s3") },
 			want:   []string{"s1", "s2"},
 		},
 		"list source unavailable": {
@@ -212,21 +212,21 @@
 	helper := fixture.server(t, "s2")
 	assert.Equal(t, helper.Running, 0)
 	assert.Equal(t, helper.Backlog, 300*time.Millisecond)
-	activeRequest.Read()
+	activeRequest.FinishPrefill()
 	assert.Equal(t, fixture.server(t, "s1").Backlog, time.Duration(0))
 	assert.Equal(t, fixture.server(t, "s1").Running, 1)
 	assert.Equal(t, fixture.server(t, "s2").Backlog, time.Duration(0))
-	activeRequest.Over()
-	activeRequest.Over()
+	activeRequest.Finish()
+	activeRequest.Finish()
 	assert.Equal(t, fixture.server(t, "s1").Running, 0)
 	assert.Equal(t, fixture.server(t, "s1").MemoryFree, memoryTokens)
-	assert.Equal(t, len(fixture.Own()), 0)
+	assert.Equal(t, len(fixture.OwnReports()), 0)
 }
 
 // TestRemoteAttempts guards against counting other VMs' requests wrongly when their reports are
 // repeated, delayed or lost.
 func TestRemoteAttempts(t *testing.T) {
-	report := pool.Report{ID: 7, Server: "s1", Work: time.Second, Memory: 1000, Tight: true}
+	report := pool.Report{ID: 7, Server: "s1", PrefillTime: time.Second, Memory: 1000, Tight: true}
 	with := func(phase pool.Phase) []pool.Report {
 		changed := report
 		changed.Phase = phase
@@ -238,47 +238,47 @@
 		wantBacklog time.Duration
 	}{
 		"prefill": {
-			action:      func(fixture *fixture) { fixture.Told("vm-2", with(pool.PhaseReading)) },
+			action:      func(fixture *fixture) { fixture.ApplyReports("vm-2", with(pool.PhasePrefill)) },
 			wantRunning: 1, wantBacklog: time.Second,
 		},
 		"repeated report": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseReading))
-				fixture.Told("vm-2", with(pool.PhaseReading))
+				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
+				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
 			},
 			wantRunning: 1, wantBacklog: time.Second,
 		},
 		"same ID of two VMs": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseWriting))
-				fixture.Told("vm-3", with(pool.PhaseWriting))
+				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
+				fixture.ApplyReports("vm-3", with(pool.PhaseDecode))
 			},
 			wantRunning: 2,
 		},
 		"delayed report of an earlier phase": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseWriting))
-				fixture.Told("vm-2", with(pool.PhaseReading))
+				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
+				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
 			},
 			wantRunning: 1,
 		},
 		"ended": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseReading))
-				fixture.Told("vm-2", with(pool.PhaseOver))
+				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
+				fixture.ApplyReports("vm-2", with(pool.PhaseEnded))
 			},
 		},
 		"expired after a lost end report": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseWriting))
+				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(2 * time.Second)
 			},
 		},
 		"kept by repeated reports": {
 			action: func(fixture *fixture) {
-				fixture.Told("vm-2", with(pool.PhaseWriting))
+				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(time.Second)
-				fixture.Told("vm-2", with(pool.PhaseWriting))
+				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(time.Second)
 			},
 			wantRunning: 1,
@@ -318,7 +318,7 @@
 			activeRequest := fixture.Start(plan, placement.Request{InterTokenObjective: 250 * time.Millisecond})
 			fixture.advance(test.after)
 			if test.prefilled {
-				activeRequest.Read()
+				activeRequest.FinishPrefill()
 			}
 			assert.Equal(t, fixture.server(t, "s1").Backlog, test.want)
 		})
@@ -329,16 +329,16 @@
 func TestFailuresMakeServerSuspect(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(1))
-	assert.Assert(t, !fixture.Failed("s1"))
+	assert.Assert(t, !fixture.RecordFailure("s1"))
 	assert.Assert(t, !fixture.server(t, "s1").Suspect)
-	assert.Assert(t, fixture.Failed("s1"))
+	assert.Assert(t, fixture.RecordFailure("s1"))
 	assert.Assert(t, fixture.server(t, "s1").Suspect)
 	fixture.advance(1100 * time.Millisecond)
 	assert.Assert(t, !fixture.server(t, "s1").Suspect)
-	assert.Assert(t, fixture.Failed("s1"))
+	assert.Assert(t, fixture.RecordFailure("s1"))
 	fixture.advance(1100 * time.Millisecond)
 	assert.Assert(t, fixture.server(t, "s1").Suspect, "each further failure doubles the time")
-	fixture.Succeeded("s1", fingerprint.None)
+	fixture.RecordSuccess("s1", fingerprint.None)
 	assert.Assert(t, !fixture.server(t, "s1").Suspect)
 }
 
@@ -361,12 +361,12 @@
 			fixture.Replace(listedServers(3))
 			for id, slowdown := range test.slowdown {
 				activeRequest := fixture.Start(placement.Plan{Server: fixture.server(t, id)}, placement.Request{Engine: engines().Engine})
-				activeRequest.Read()
+				activeRequest.FinishPrefill()
 				for range 20 {
-					activeRequest.Event()
+					activeRequest.RecordEvent()
 					fixture.advance(time.Duration(slowdown * float64(73*time.Millisecond)))
 				}
-				activeRequest.Over()
+				activeRequest.Finish()
 				fixture.now = time.Unix(1000, 0).Add(time.Millisecond)
 			}
 			for id := range test.slowdown {
@@ -385,10 +385,10 @@
 	fixture := newFixture()
 	fixture.Replace(listedServers(3))
 	for range 30 {
-		report := pool.Report{ID: 7, Server: "s1", Phase: pool.PhaseWriting}
-		fixture.Told("vm-2", []pool.Report{report})
-		report.Phase, report.Pace = pool.PhaseOver, 5
-		fixture.Told("vm-2", []pool.Report{report})
+		report := pool.Report{ID: 7, Server: "s1", Phase: pool.PhaseDecode}
+		fixture.ApplyReports("vm-2", []pool.Report{report})
+		report.Phase, report.Pace = pool.PhaseEnded, 5
+		fixture.ApplyReports("vm-2", []pool.Report{report})
 	}
 	assert.Assert(t, fixture.server(t, "s1").Suspect)
 }
--- a/internal/pool/reports.go
+++ b/internal/pool/reports.go
@@ -3,26 +3,26 @@
 import "time"
 
 // ApplyReports applies the reports of another VM.
-func (pool *Pool) Told(vm string, reports []Report) {
+func (pool *Pool) ApplyReports(vm string, reports []Report) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
 	freed := false
 	for _, report := range reports {
-		freed = pool.told(vm, report, now) || freed
+		freed = pool.applyReport(vm, report, now) || freed
 	}
 	if freed {
-		pool.wake()
+		pool.notifyChanged()
 	}
 }
 
 // applyReport applies one report, and reports whether it may have freed capacity.
-func (pool *Pool) told(vm string, report Report, now time.Time) bool {
-	if report.Phase == PhaseNone {
+func (pool *Pool) applyReport(vm string, report Report, now time.Time) bool {
+	if report.Phase == PhaseUnknown {
 		return false
 	}
-	if report.Health != HealthUntold {
-		pool.toldHealth(vm, report)
+	if report.Health != HealthUnreported {
+		pool.applyHealth(vm, report)
 		return false
 	}
 	server := pool.servers[report.Server]
@@ -38,34 +38,34 @@
 		}
 		if report.Pace > 0 && report.Pace != known.Pace {
 			known.Pace = report.Pace
-			server.learnPace(report.Pace, now, pool.settings)
+			server.updatePace(report.Pace, now, pool.settings)
 		}
 		advanced := report.Phase > known.Phase
-		if report.Phase == PhaseOver {
-			pool.end(known)
+		if report.Phase == PhaseEnded {
+			pool.removeAttempt(known)
 			return true
 		}
 		if advanced {
-			server.lastRead = now
+			server.lastPrefillEnd = now
 		}
 		known.Phase = report.Phase
-		known.toldAt = now
+		known.reportedAt = now
 		return advanced
 	}
-	if report.Phase != PhaseOver {
-		pool.place(server, &attempt{
-			Report: report, vm: vm, sentAt: now.Add(-report.Age), toldAt: now,
+	if report.Phase != PhaseEnded {
+		pool.insertAndCount(server, &attempt{
+			Report: report, vm: vm, sentAt: now.Add(-report.Age), reportedAt: now,
 		}, now)
 	}
 	return false
 }
 
 // dropExpired drops other VMs' attempts that were not reported for Settings.RemoteTime.
-func (pool *Pool) forget(server *server, now time.Time) {
+func (pool *Pool) dropExpired(server *server, now time.Time) {
 	expiry := now.Add(-pool.settings.RemoteTime)
 	kept := server.attempts[:0]
 	for _, attempt := range server.attempts {
-		if attempt.vm == pool.vm || !attempt.toldAt.Before(expiry) {
+		if attempt.vm == pool.vm || !attempt.reportedAt.Before(expiry) {
 			kept = append(kept, attempt)
 		}
 	}
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -35,16 +35,16 @@
 			fixture.Start(firstPlan(fixture), placement.Request{Engine: engines().Engine, Memory: 1000})
 		},
 		"requests of other VMs": func(fixture *fixture) {
-			fixture.Told("vm-2", []pool.Report{{ID: 1, Server: startID(1), Phase: pool.PhaseReading, Memory: 1000, Work: time.Second}})
+			fixture.ApplyReports("vm-2", []pool.Report{{ID: 1, Server: startID(1), Phase: pool.PhasePrefill, Memory: 1000, PrefillTime: time.Second}})
 		},
 		"failures": func(fixture *fixture) {
 			for range 9 {
-				fixture.Failed(startID(1))
+				fixture.RecordFailure(startID(1))
 			}
 		},
-		"unreported memory in use":        func(fixture *fixture) { fixture.NotFree(engines(), startID(1), 0, 100) },
-		"closed":                          func(fixture *fixture) { fixture.Closed(startID(1)) },
-		"draining reported in a response": func(fixture *fixture) { fixture.Leaves(startID(1)) },
+		"unreported memory in use":        func(fixture *fixture) { fixture.RecordFreeMemory(engines(), startID(1), 0, 100) },
+		"closed":                          func(fixture *fixture) { fixture.MarkClosed(startID(1)) },
+		"draining reported in a response": func(fixture *fixture) { fixture.MarkDraining(startID(1)) },
 		"draining by its entry": func(fixture *fixture) {
 			change := startOf(1)
 			change.Value.Leaving = true
@@ -77,9 +77,9 @@
 		"draining entry": func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{drainingFirst}) },
 		"whole list":     func(fixture *fixture) { fixture.Replace([]follower.Change[directory.Entry]{startOf(1)}) },
 		"reports": func(fixture *fixture) {
-			fixture.Told("vm-2", []pool.Report{
-				{ID: 1, Server: startID(1), Phase: pool.PhaseReading, Memory: 1000, Work: time.Second},
-				{Server: startID(1), Phase: pool.PhaseOver, Health: pool.HealthClosed},
+			fixture.ApplyReports("vm-2", []pool.Report{
+				{ID: 1, Server: startID(1), Phase: pool.PhasePrefill, Memory: 1000, PrefillTime: time.Second},
+				{Server: startID(1), Phase: pool.PhaseEnded, Health: pool.HealthClosed},
 			})
 		},
 	} {
@@ -112,8 +112,8 @@
 	fixture := newFixture()
 	fixture.Apply(listedServers(1))
 	for _, age := range []time.Duration{0, 400 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond, 1900 * time.Millisecond} {
-		fixture.Told("vm-2", []pool.Report{{
-			Server: "s1", Phase: pool.PhaseReading, Health: pool.HealthLost, Fingerprint: 7, Age: age,
+		fixture.ApplyReports("vm-2", []pool.Report{{
+			Server: "s1", Phase: pool.PhasePrefill, Health: pool.HealthConnectionLost, Fingerprint: 7, Age: age,
 		}})
 	}
 	assert.Assert(t, !fixture.server(t, "s1").Suspect)
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -18,7 +18,7 @@
 	// missingSince is when the server was found missing from the list, or zero for a listed one.
 	missingSince time.Time
 	// entryInvalid is set while the server's list entry cannot be parsed.
-	spoilt bool
+	entryInvalid bool
 	// replaced is set once a later start of the server is listed.
 	replaced bool
 	// closed is set once the server's address is found to belong to another server.
@@ -27,26 +27,26 @@
 	// attempts has the requests of all VMs there, in the order of sending.
 	attempts []*attempt
 	// limit is the advertised limit on the requests from all VMs together.
-	limit backpressure.Limit
+	limit backpressure.RateLimit
 	// coldStart is nil for a warm server.
 	coldStart *coldStart
 	// drainingReportedBy is the source that first reported the draining: a VM or listSource. It is
 	// empty for a server that is not draining.
-	leavingToldBy string
+	drainingReportedBy string
 	// limitWatched is set while another VM has a rate limit for the server that this VM doesn't
 	// have.
-	watched bool
+	limitWatched bool
 	// pace is the moving average of observed to expected time between events, and paceUpdatedAt is
 	// when the last value was added.
-	pace    float64
-	pacedAt time.Time
+	pace          float64
+	paceUpdatedAt time.Time
 	// lastPrefillEnd is when the last known prefill ended.
-	lastRead time.Time
+	lastPrefillEnd time.Time
 	// hiddenMemory is the KV memory, in tokens, in use by requests that no VM has reported. It
 	// counts until hiddenUntil. hiddenDuration is the period for which it was last set to count.
-	hidden      int
-	hiddenFor   time.Duration
-	hiddenUntil time.Time
+	hiddenMemory   int
+	hiddenDuration time.Duration
+	hiddenUntil    time.Time
 }
 
 // snapshot returns the server as a placement policy sees it. MemoryFree is negative: minus the
@@ -58,28 +58,28 @@
 		DataCentre:  server.entry.DataCentre,
 		Slots:       server.entry.Slots,
 		Suspect:     server.ejection.Ejected(now),
-		RateLimited: server.limit.Named(),
+		RateLimited: server.limit.Advertised(),
 	}
-	idleAt := server.lastRead
+	idleAt := server.lastPrefillEnd
 	overdue := time.Duration(0)
 	for _, attempt := range server.attempts {
-		if !attempt.Helps {
+		if !attempt.PrefillOnly {
 			snapshot.Running++
 			snapshot.MinInterTokenObjective = shorter(snapshot.MinInterTokenObjective, attempt.Gap)
 			addWeight(&snapshot, attempt)
 		}
 		snapshot.MemoryFree -= attempt.Memory
-		if attempt.Phase == PhaseReading {
+		if attempt.Phase == PhasePrefill {
 			snapshot.PrefillsLong = snapshot.PrefillsLong || !attempt.Tight
-			idleAt = later(idleAt, attempt.sentAt).Add(attempt.Work)
-			overdue = max(overdue, now.Sub(idleAt)-settings.overdueAfter(attempt.Work))
+			idleAt = later(idleAt, attempt.sentAt).Add(attempt.PrefillTime)
+			overdue = max(overdue, now.Sub(idleAt)-settings.overdueAfter(attempt.PrefillTime))
 		}
 	}
 	// A server whose first events are overdue is delayed by work that is not reported here. By the
 	// reported work alone it would look idle.
 	snapshot.Backlog = max(0, idleAt.Sub(now)) + overdue
 	if now.Before(server.hiddenUntil) {
-		snapshot.MemoryFree -= server.hidden
+		snapshot.MemoryFree -= server.hiddenMemory
 	}
 	return snapshot
 }
@@ -98,30 +98,30 @@
 }
 
 // pendingPrefill is the total prefill time of the attempts without an event so far.
-func (server *server) reading() time.Duration {
+func (server *server) pendingPrefill() time.Duration {
 	var total time.Duration
 	for _, attempt := range server.attempts {
-		if attempt.Phase == PhaseReading {
-			total += attempt.Work
+		if attempt.Phase == PhasePrefill {
+			total += attempt.PrefillTime
 		}
 	}
 	return total
 }
 
 // updatePace adds the ratio of observed to expected time of one event interval to the pace.
-func (server *server) learnPace(ratio float64, now time.Time, settings Settings) {
+func (server *server) updatePace(ratio float64, now time.Time, settings Settings) {
 	current := server.currentPace(now, settings)
 	server.pace = current + settings.PaceGain*(ratio-current)
-	server.pacedAt = now
+	server.paceUpdatedAt = now
 }
 
 // currentPace is the pace as it counts now. Without new values it decays to one, so that a slow
 // server is tried again.
 func (server *server) currentPace(now time.Time, settings Settings) float64 {
-	if server.pacedAt.IsZero() {
+	if server.paceUpdatedAt.IsZero() {
 		return 1
 	}
-	halfLives := now.Sub(server.pacedAt).Seconds() / settings.PaceHalf.Seconds()
+	halfLives := now.Sub(server.paceUpdatedAt).Seconds() / settings.PaceHalf.Seconds()
 	return 1 + (server.pace-1)*math.Exp2(-halfLives)
 }
 
@@ -140,7 +140,7 @@
 }
 
 // insert adds an attempt in the order of sending.
-func (server *server) add(added *attempt) {
+func (server *server) insert(added *attempt) {
 	at, _ := slices.BinarySearchFunc(server.attempts, added, func(a, b *attempt) int {
 		return cmp.Or(a.sentAt.Compare(b.sentAt), 1)
 	})
@@ -153,6 +153,6 @@
 
 // inDataCentres reports whether the server is in one of the given data centres. An empty list
 // allows all.
-func (server *server) in(dataCentres []string) bool {
+func (server *server) inDataCentres(dataCentres []string) bool {
 	return len(dataCentres) == 0 || slices.Contains(dataCentres, server.entry.DataCentre)
 }
--- a/internal/pool/server_status.go
+++ b/internal/pool/server_status.go
@@ -23,9 +23,9 @@
 	// DrainingReportedBy is the source that first reported the draining: "list" for the server
 	// list, or the VM that got the server's response. It is empty for a server that is not
 	// draining.
-	LeavingToldBy string `json:"leaving_told_by,omitempty"`
+	DrainingReportedBy string `json:"leaving_told_by,omitempty"`
 	// Backoffs has the VMs from which the server accepts nothing now.
-	Rests []RestStatus `json:"rests,omitempty"`
+	Backoffs []BackoffStatus `json:"rests,omitempty"`
 	// Limit is the advertised rate limit, or nil for none.
 	Limit *LimitStatus `json:"limit,omitempty"`
 	// ColdSeconds is the remaining time for which the server is cold, or zero.
@@ -37,14 +37,14 @@
 	ListingListed   = "listed"
 	ListingMissing  = "missing"
 	ListingReplaced = "replaced"
-	ListingSpoilt   = "entry is bad"
+	ListingInvalid  = "entry is bad"
 	ListingClosed   = "address is another's"
 	// ListingEvacuated is for a listed server in an evacuated data centre.
 	ListingEvacuated = "evacuated"
 )
 
 // BackoffStatus is the remaining backoff of a server for one VM.
-type RestStatus struct {
+type BackoffStatus struct {
 	VM      string  `json:"vm"`
 	Seconds float64 `json:"seconds"`
 }
@@ -55,9 +55,9 @@
 	// Lifted is set if the server no longer advertises the limit, and the load is being increased
 	// step by step.
 	Lifted bool `json:"lifted"`
-	// SaidSeconds is the time since the server last advertised the limit, or since the request
+	// AdvertisedSeconds is the time since the server last advertised the limit, or since the request
 	// whose response lifted it.
-	SaidSeconds float64 `json:"said_seconds"`
+	AdvertisedSeconds float64 `json:"said_seconds"`
 	// Available is the number of requests that this VM may assign to the server now. It is negative
 	// after the limit was exceeded.
 	Available float64 `json:"available"`
@@ -73,8 +73,8 @@
 		snapshot := server.snapshot(now, pool.settings)
 		list = append(list, ServerStatus{
 			ID: id, Service: server.entry.Service, Address: server.entry.Address, DataCentre: server.entry.DataCentre,
-			Listing: pool.listing(server), Running: snapshot.Running, Suspect: snapshot.Suspect, LeavingToldBy: server.leavingToldBy,
-			Rests: pool.restsOf(id, now), Limit: limitStatus(server.limit, pool.publisher.Share(), now),
+			Listing: pool.listing(server), Running: snapshot.Running, Suspect: snapshot.Suspect, DrainingReportedBy: server.drainingReportedBy,
+			Backoffs: pool.backoffsOf(id, now), Limit: limitStatus(server.limit, pool.publisher.Share(), now),
 			ColdSeconds: server.coldSeconds(now),
 		})
 	}
@@ -90,8 +90,8 @@
 		return ListingReplaced
 	case server.closed:
 		return ListingClosed
-	case server.spoilt:
-		return ListingSpoilt
+	case server.entryInvalid:
+		return ListingInvalid
 	case !server.missingSince.IsZero():
 		return ListingMissing
 	case pool.isEvacuated(server):
@@ -108,24 +108,24 @@
 	return max(0, server.coldStart.until.Sub(now).Seconds())
 }
 
-func (pool *Pool) restsOf(id string, now time.Time) []RestStatus {
-	var list []RestStatus
-	for vm := range pool.rests {
-		if until, inBackoff := pool.rests.Over(vm, id, now); inBackoff {
-			list = append(list, RestStatus{VM: vm, Seconds: until.Sub(now).Seconds()})
+func (pool *Pool) backoffsOf(id string, now time.Time) []BackoffStatus {
+	var list []BackoffStatus
+	for vm := range pool.inBackoff {
+		if until, inBackoff := pool.inBackoff.End(vm, id, now); inBackoff {
+			list = append(list, BackoffStatus{VM: vm, Seconds: until.Sub(now).Seconds()})
 		}
 	}
-	slices.SortFunc(list, func(a, b RestStatus) int { return cmp.Compare(a.VM, b.VM) })
+	slices.SortFunc(list, func(a, b BackoffStatus) int { return cmp.Compare(a.VM, b.VM) })
 	return list
 }
 
-func limitStatus(limit backpressure.Limit, share float64, now time.Time) *LimitStatus {
-	advertisement, found := limit.Statement()
-	if !found || !limit.Holds(now) {
+func limitStatus(limit backpressure.RateLimit, share float64, now time.Time) *LimitStatus {
+	advertisement, found := limit.Advertisement()
+	if !found || !limit.InForce(now) {
 		return nil
 	}
 	return &LimitStatus{
-		PerSecond: advertisement.PerSecond, Lifted: !advertisement.Named, SaidSeconds: now.Sub(advertisement.At).Seconds(),
+		PerSecond: advertisement.PerSecond, Lifted: !advertisement.Advertised, AdvertisedSeconds: now.Sub(advertisement.At).Seconds(),
 		Available: limit.Available(share, now),
 	}
 }
--- a/internal/pool/server_status_test.go
+++ b/internal/pool/server_status_test.go
@@ -19,39 +19,39 @@
 		want   func(status *pool.ServerStatus)
 	}{
 		"no action":                       {action: func(*fixture) {}, want: func(*pool.ServerStatus) {}},
-		"draining reported in a response": {action: func(fixture *fixture) { fixture.Leaves("s1") }, want: func(status *pool.ServerStatus) { status.LeavingToldBy = "vm-1" }},
-		"draining reported by another VM": {action: reportDraining, want: func(status *pool.ServerStatus) { status.LeavingToldBy = "vm-2" }},
+		"draining reported in a response": {action: func(fixture *fixture) { fixture.MarkDraining("s1") }, want: func(status *pool.ServerStatus) { status.DrainingReportedBy = "vm-1" }},
+		"draining reported by another VM": {action: reportDraining, want: func(status *pool.ServerStatus) { status.DrainingReportedBy = "vm-2" }},
 		"draining by its entry": {
 			action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{drainingEntry()}) },
-			want:   func(status *pool.ServerStatus) { status.LeavingToldBy = "list" },
+			want:   func(status *pool.ServerStatus) { status.DrainingReportedBy = "list" },
 		},
 		"draining reported by another VM, then by its entry": {action: func(fixture *fixture) {
 			reportDraining(fixture)
 			fixture.Apply([]follower.Change[directory.Entry]{drainingEntry()})
-		}, want: func(status *pool.ServerStatus) { status.LeavingToldBy = "vm-2" }},
+		}, want: func(status *pool.ServerStatus) { status.DrainingReportedBy = "vm-2" }},
 		"in backoff": {action: func(fixture *fixture) {
-			fixture.Rests("s1", 3*time.Second)
+			fixture.BackOff("s1", 3*time.Second)
 			reportBackoff("s1", 2*time.Second)(fixture)
 		}, want: func(status *pool.ServerStatus) {
-			status.Rests = []pool.RestStatus{{VM: "vm-1", Seconds: 2}, {VM: "vm-2", Seconds: 1}}
+			status.Backoffs = []pool.BackoffStatus{{VM: "vm-1", Seconds: 2}, {VM: "vm-2", Seconds: 1}}
 		}},
-		"rate limit advertised": {action: func(fixture *fixture) { fixture.Limits("s1", 2) }, want: func(status *pool.ServerStatus) {
-			status.Limit = &pool.LimitStatus{PerSecond: 2, SaidSeconds: 1, Available: 1.5}
+		"rate limit advertised": {action: func(fixture *fixture) { fixture.RecordRateLimit("s1", 2) }, want: func(status *pool.ServerStatus) {
+			status.Limit = &pool.LimitStatus{PerSecond: 2, AdvertisedSeconds: 1, Available: 1.5}
 		}},
 		"rate limit lifted": {action: func(fixture *fixture) {
-			fixture.Limits("s1", 2)
+			fixture.RecordRateLimit("s1", 2)
 			fixture.advance(time.Second)
-			fixture.LiftsLimit("s1", fixture.now)
+			fixture.RecordNoRateLimit("s1", fixture.now)
 		}, want: func(status *pool.ServerStatus) {
-			status.Limit = &pool.LimitStatus{PerSecond: 2, SaidSeconds: 1, Lifted: true, Available: 17}
+			status.Limit = &pool.LimitStatus{PerSecond: 2, AdvertisedSeconds: 1, Lifted: true, Available: 17}
 		}},
 		"address of another server": {
-			action: func(fixture *fixture) { fixture.Closed("s1") },
+			action: func(fixture *fixture) { fixture.MarkClosed("s1") },
 			want:   func(status *pool.ServerStatus) { status.Listing = pool.ListingClosed },
 		},
 		"invalid entry": {
 			action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{{Key: "s1", Bad: true}}) },
-			want:   func(status *pool.ServerStatus) { status.Listing = pool.ListingSpoilt },
+			want:   func(status *pool.ServerStatus) { status.Listing = pool.ListingInvalid },
 		},
 		"missing from the list": {action: func(fixture *fixture) {
 			fixture.Lost()
@@ -73,5 +73,5 @@
 }
 
 func reportDraining(fixture *fixture) {
-	fixture.Told("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseOver, Health: pool.HealthLeaving}})
+	fixture.ApplyReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthDraining}})
 }
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -28,20 +28,20 @@
 
 // lift ends the quarantine of a request after a success, which can arrive for an attempt that was
 // in flight when the quarantine began.
-func (tracker *Book) lift(request fingerprint.Fingerprint, now time.Time) {
+func (tracker *Tracker) lift(request fingerprint.Fingerprint, now time.Time) {
 	entry, found := tracker.entries.Peek(request)
 	if !found || !entry.Until.After(now) {
 		return
 	}
 	lifted := Entry{Fingerprint: request, Times: entry.Times + 1, Until: now}
-	tracker.enter(lifted)
+	tracker.addEntry(lifted)
 	tracker.found = append(tracker.found, lifted)
 	tracker.logger.Info("request quarantine lifted after a success", "fingerprint", request)
-	tracker.wake()
+	tracker.signalChange()
 }
 
 // addEntry adds an entry, unless the known entry of the request is as new or newer.
-func (tracker *Book) enter(entry Entry) {
+func (tracker *Tracker) addEntry(entry Entry) {
 	if known, found := tracker.entries.Peek(entry.Fingerprint); found && known.Times >= entry.Times {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // ApplyEntries adds entries reported by another VM or read from the store. Times too far in the
 // future are limited to Settings.TimeMax, and expired entries of unknown requests are ignored.
-func (tracker *Book) Told(entries []Entry) {
+func (tracker *Tracker) ApplyEntries(entries []Entry) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	now := tracker.now()
@@ -69,25 +69,25 @@
 			entry.Until = latest
 		}
 		if entry.Until.After(now) || tracker.entries.Contains(entry.Fingerprint) {
-			tracker.enter(entry)
+			tracker.addEntry(entry)
 		}
 	}
 }
 
 // Entries returns the entries in force, the newest first.
-func (tracker *Book) Entries() []Entry {
+func (tracker *Tracker) Entries() []Entry {
 	return tracker.entriesAfter(0)
 }
 
 // PublishableEntries returns the entries to report to other VMs: those in force, and those that
 // ended within Settings.Repeat, since they may have been lifted.
-func (tracker *Book) Tell() []Entry {
+func (tracker *Tracker) PublishableEntries() []Entry {
 	return tracker.entriesAfter(-tracker.settings.Repeat)
 }
 
 // entriesAfter returns the entries whose remaining time is longer than the given one, the newest
 // first.
-func (tracker *Book) entriesAfter(remaining time.Duration) []Entry {
+func (tracker *Tracker) entriesAfter(remaining time.Duration) []Entry {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	now := tracker.now()
@@ -102,7 +102,7 @@
 }
 
 // Remaining returns the remaining time of a request's quarantine, or zero.
-func (tracker *Book) Kept(request fingerprint.Fingerprint) time.Duration {
+func (tracker *Tracker) Remaining(request fingerprint.Fingerprint) time.Duration {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	entry, found := tracker.entries.Peek(request)
@@ -115,7 +115,7 @@
 // OnProbation reports whether a request's quarantine is over and no success is known since. Such a
 // request may be sent to one server at a time: a second one would be lost before the first loss is
 // known.
-func (tracker *Book) OnTrial(request fingerprint.Fingerprint) bool {
+func (tracker *Tracker) OnProbation(request fingerprint.Fingerprint) bool {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	entry, found := tracker.entries.Peek(request)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -29,7 +29,7 @@
 	// requests has the requests in flight on the server, each once.
 	requests []*suspect
 	// refuted is set if the server responded soon after, so it was not lost.
-	void bool
+	refuted bool
 }
 
 // suspect is a request that was in flight on servers when they were lost.
@@ -38,7 +38,7 @@
 	// crashes has the losses, one for each start of a server, in the order of time.
 	crashes []*crash
 	// hadEvent is set if an event of the response arrived before one of the losses.
-	ran bool
+	hadEvent bool
 	// successes counts the successes, and is nil for none.
 	successes *successes
 	// entry is the last entry of the request, or nil.
@@ -63,15 +63,15 @@
 }
 
 // wasOn reports whether the request was in flight on the server of a crash.
-func (suspect *suspect) on(crash *crash) bool {
+func (suspect *suspect) wasOn(crash *crash) bool {
 	return slices.Contains(crash.requests, suspect)
 }
 
 // isAsLikely reports whether the request is at least as likely a cause as another one. A request
 // with a success is not: a frequent request is on each lost server too. A request with events is
 // less likely than one without, since engines crash before the first event.
-func (suspect *suspect) asLikely(other *suspect) bool {
-	return suspect.successes == nil && (!suspect.ran || other.ran)
+func (suspect *suspect) isAsLikely(other *suspect) bool {
+	return suspect.successes == nil && (!suspect.hadEvent || other.hadEvent)
 }
 
 // hasKnownCause reports whether the server had another request that is or was in quarantine.
@@ -90,53 +90,53 @@
 }
 
 // isHarmful reports whether a request counts as the cause of the crashes under it.
-func (evidence evidence) harmful(request *suspect) bool {
+func (evidence evidence) isHarmful(request *suspect) bool {
 	if request.entry == nil && len(request.crashes) < evidence.settings.Limit {
 		return false // the case of almost all requests when many servers are lost at once
 	}
-	if evidence.cleared(request) {
+	if evidence.isCleared(request) {
 		return false
 	}
 	switch {
 	case request.successes != nil:
-		return evidence.blamed(request, evidence.unexplained) >= evidence.settings.Certain
+		return evidence.countBlamed(request, evidence.unexplainedCrashes) >= evidence.settings.Certain
 	case request.entry != nil:
-		return evidence.count(evidence.onTrial(request)) > 0
+		return evidence.countMoments(evidence.crashesOnProbation(request)) > 0
 	default:
 		// A wave of crashes cannot hide the request permanently.
-		return evidence.blamed(request, evidence.unexplained) >= evidence.settings.Limit ||
-			evidence.blamed(request, allCrashes) >= evidence.settings.Certain
+		return evidence.countBlamed(request, evidence.unexplainedCrashes) >= evidence.settings.Limit ||
+			evidence.countBlamed(request, allCrashes) >= evidence.settings.Certain
 	}
 }
 
 // crashesOnProbation returns the crashes under a request after its quarantine that no wave
 // explains. Those with another known cause don't count.
-func (evidence evidence) onTrial(request *suspect) []*crash {
-	return without(evidence.unexplained(request), func(crash *crash) bool {
+func (evidence evidence) crashesOnProbation(request *suspect) []*crash {
+	return without(evidence.unexplainedCrashes(request), func(crash *crash) bool {
 		return !crash.at.After(request.entry.Until) || crash.hasKnownCause(request)
 	})
 }
 
 // isCleared reports whether a request has at least as many successes as crashes.
-func (evidence evidence) cleared(request *suspect) bool {
+func (evidence evidence) isCleared(request *suspect) bool {
 	if request.successes == nil {
 		return false
 	}
 	decayedCount := request.successes.current(evidence.now, evidence.settings.GoodHalf)
-	return decayedCount >= float64(evidence.count(request.crashes))
+	return decayedCount >= float64(evidence.countMoments(request.crashes))
 }
 
 // countBlamed counts the crashes under a request since its last quarantine, among those that
 // selected returns, for which no other request on the server is as likely and has as many of these.
-func (evidence evidence) blamed(request *suspect, selected func(request *suspect) []*crash) int {
+func (evidence evidence) countBlamed(request *suspect, selected func(request *suspect) []*crash) int {
 	own := selected(request)
-	ownMoments := evidence.count(own)
-	return evidence.count(without(own, func(crash *crash) bool {
+	ownMoments := evidence.countMoments(own)
+	return evidence.countMoments(without(own, func(crash *crash) bool {
 		if crash.hasKnownCause(request) || (request.entry != nil && !crash.at.After(request.entry.Until)) {
 			return true
 		}
 		return slices.ContainsFunc(crash.requests, func(other *suspect) bool {
-			return other != request && other.asLikely(request) && evidence.count(selected(other)) >= ownMoments
+			return other != request && other.isAsLikely(request) && evidence.countMoments(selected(other)) >= ownMoments
 		})
 	}))
 }
@@ -146,7 +146,7 @@
 }
 
 // unexplainedCrashes returns the crashes under a request that no wave explains.
-func (evidence evidence) unexplained(request *suspect) []*crash {
+func (evidence evidence) unexplainedCrashes(request *suspect) []*crash {
 	return without(request.crashes, func(crash *crash) bool { return evidence.inWave(request, crash) })
 }
 
@@ -154,13 +154,13 @@
 func (evidence evidence) inWave(request *suspect, lost *crash) bool {
 	moment := evidence.settings.Moment
 	return slices.ContainsFunc(between(evidence.crashes, lost.at.Add(-moment), lost.at.Add(moment)), func(other *crash) bool {
-		return !other.void && !request.on(other)
+		return !other.refuted && !request.wasOn(other)
 	})
 }
 
 // countMoments returns the number of distinct moments of crashes. Crashes within Settings.Moment of
 // each other are one moment. Those more recent than Settings.Settle are left out so far.
-func (evidence evidence) count(crashes []*crash) int {
+func (evidence evidence) countMoments(crashes []*crash) int {
 	latest := evidence.now.Add(-evidence.settings.Settle)
 	moments := 0
 	var last time.Time
@@ -168,7 +168,7 @@
 		if crash.at.After(latest) {
 			break
 		}
-		if crash.void || (moments > 0 && crash.at.Sub(last) <= evidence.settings.Moment) {
+		if crash.refuted || (moments > 0 && crash.at.Sub(last) <= evidence.settings.Moment) {
 			continue
 		}
 		moments++
--- a/internal/quarantine/observation.go
+++ b/internal/quarantine/observation.go
@@ -8,39 +8,39 @@
 )
 
 // RecordLoss records that this VM just lost a server under a request. It sets loss.At.
-func (tracker *Book) Lost(loss Loss) {
+func (tracker *Tracker) RecordLoss(loss Loss) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	loss.At = tracker.now()
-	tracker.own = append(tracker.recent(), loss)
-	tracker.note(loss)
+	tracker.own = append(tracker.recentLosses(), loss)
+	tracker.addLoss(loss)
 }
 
 // RecordRemoteLoss records a loss that another VM observed the given time ago.
-func (tracker *Book) LostElsewhere(loss Loss, age time.Duration) {
+func (tracker *Tracker) RecordRemoteLoss(loss Loss, age time.Duration) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	loss.At = tracker.now().Add(-age)
-	tracker.note(loss)
+	tracker.addLoss(loss)
 }
 
 // RecentLosses returns the losses that this VM observed within Settings.Repeat, to be reported
 // repeatedly.
-func (tracker *Book) Own() []Loss {
+func (tracker *Tracker) RecentLosses() []Loss {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
-	tracker.own = tracker.recent()
+	tracker.own = tracker.recentLosses()
 	return slices.Clone(tracker.own)
 }
 
-func (tracker *Book) recent() []Loss {
+func (tracker *Tracker) recentLosses() []Loss {
 	oldest := tracker.now().Add(-tracker.settings.Repeat)
 	return slices.DeleteFunc(tracker.own, func(loss Loss) bool { return loss.At.Before(oldest) })
 }
 
 // RecordCompletion records the success of a request on a server. It lifts the quarantine of the
 // request and refutes recent losses of the server.
-func (tracker *Book) Served(request fingerprint.Fingerprint, server string) {
+func (tracker *Tracker) RecordCompletion(request fingerprint.Fingerprint, server string) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	now := tracker.now()
@@ -55,25 +55,25 @@
 	}
 	tracker.lift(request, now)
 	for _, lost := range between(tracker.crashes, now.Add(-tracker.settings.Alive), now.Add(-tracker.settings.Settle)) {
-		lost.void = lost.void || lost.server == server
+		lost.refuted = lost.refuted || lost.server == server
 	}
 }
 
 // addLoss adds a loss. It may be reported repeatedly.
-func (tracker *Book) note(loss Loss) {
-	tracker.forget()
-	lost := tracker.crashOf(loss)
+func (tracker *Tracker) addLoss(loss Loss) {
+	tracker.dropOld()
+	lost := tracker.crashFor(loss)
 	known := tracker.suspect(loss.Fingerprint)
-	known.ran = known.ran || loss.Ran
-	if known.on(lost) {
+	known.hadEvent = known.hadEvent || loss.HadEvent
+	if known.wasOn(lost) {
 		return
 	}
 	lost.requests = append(lost.requests, known)
-	known.crashes = insert(known.crashes, lost)
-	tracker.wake()
+	known.crashes = insertCrash(known.crashes, lost)
+	tracker.signalChange()
 }
 
-func (tracker *Book) wake() {
+func (tracker *Tracker) signalChange() {
 	select {
 	case tracker.changed <- struct{}{}:
 	default:
@@ -82,23 +82,23 @@
 
 // crashFor returns the crash that a loss belongs to, and adds it if none is nearby in time: a server
 // may restart under its ID.
-func (tracker *Book) crashOf(loss Loss) *crash {
+func (tracker *Tracker) crashFor(loss Loss) *crash {
 	nearby := between(tracker.crashes, loss.At.Add(-tracker.settings.Alive), loss.At.Add(tracker.settings.Alive))
 	if at := slices.IndexFunc(nearby, func(crash *crash) bool { return crash.server == loss.Server }); at >= 0 {
 		return nearby[at]
 	}
 	lost := &crash{server: loss.Server, at: loss.At}
-	tracker.crashes = insert(tracker.crashes, lost)
+	tracker.crashes = insertCrash(tracker.crashes, lost)
 	return lost
 }
 
 // insertCrash inserts a crash in the order of time.
-func insert(crashes []*crash, added *crash) []*crash {
+func insertCrash(crashes []*crash, added *crash) []*crash {
 	at, _ := slices.BinarySearchFunc(crashes, added.at, compareTime)
 	return slices.Insert(crashes, at, added)
 }
 
-func (tracker *Book) suspect(request fingerprint.Fingerprint) *suspect {
+func (tracker *Tracker) suspect(request fingerprint.Fingerprint) *suspect {
 	if known, found := tracker.suspects.Get(request); found {
 		return known
 	}
@@ -114,7 +114,7 @@
 }
 
 // dropOld drops crashes older than Settings.Memory, and the oldest ones beyond Settings.Crashes.
-func (tracker *Book) forget() {
+func (tracker *Tracker) dropOld() {
 	oldest := tracker.now().Add(-tracker.settings.Memory)
 	drop := 0
 	for drop < len(tracker.crashes) && (tracker.crashes[drop].at.Before(oldest) || len(tracker.crashes)-drop > tracker.settings.Crashes) {
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -11,7 +11,7 @@
 
 // Run evaluates new observations until ctx is done. It loads the entries of the store unless that is
 // known to be empty. Evaluations don't wait for the store.
-func (tracker *Book) Run(ctx context.Context, empty bool) {
+func (tracker *Tracker) Run(ctx context.Context, empty bool) {
 	var storeOperations sync.WaitGroup
 	defer storeOperations.Wait()
 	if !empty {
@@ -26,24 +26,24 @@
 		if !wait.For(ctx, tracker.settings.Settle) {
 			return
 		}
-		found := tracker.judge()
+		found := tracker.evaluate()
 		if len(found) == 0 {
 			continue
 		}
 		tracker.publisher.Announce(found)
 		for _, entry := range found {
-			storeOperations.Go(func() { tracker.keep(ctx, entry) })
+			storeOperations.Go(func() { tracker.storeEntry(ctx, entry) })
 		}
 	}
 }
 
 // load adds the entries of the store. All VMs may have been stopped at once, and finding the
 // entries again would cost three lost servers each.
-func (tracker *Book) load(ctx context.Context) {
+func (tracker *Tracker) load(ctx context.Context) {
 	for ctx.Err() == nil {
 		entries, err := tracker.store.List(ctx)
 		if err == nil {
-			tracker.Told(entries)
+			tracker.ApplyEntries(entries)
 			return
 		}
 		tracker.logger.Warn("cannot read entries from the store; retrying", "error", err)
@@ -52,7 +52,7 @@
 }
 
 // storeEntry writes an entry to the store, and retries until ctx is done.
-func (tracker *Book) keep(ctx context.Context, entry Entry) {
+func (tracker *Tracker) storeEntry(ctx context.Context, entry Entry) {
 	for ctx.Err() == nil {
 		err := tracker.store.Put(ctx, entry)
 		if err == nil {
@@ -66,7 +66,7 @@
 // Rewrite restores the entries that are missing or older in a store that was restored from an older
 // state. VMs wait for a random time first, so that usually one VM writes the entries and the others
 // find them there.
-func (tracker *Book) Rewrite(ctx context.Context) {
+func (tracker *Tracker) Rewrite(ctx context.Context) {
 	entries := tracker.Entries()
 	if len(entries) == 0 || !wait.For(ctx, rand.N(tracker.settings.Rewrite)) { //nolint:gosec // not security-sensitive
 		return
@@ -81,7 +81,7 @@
 	}
 	for _, entry := range entries {
 		if times[entry.Fingerprint] < entry.Times {
-			tracker.keep(ctx, entry)
+			tracker.storeEntry(ctx, entry)
 		}
 	}
 }
--- a/internal/quarantine/simulation_internal_test.go
+++ b/internal/quarantine/simulation_internal_test.go
@@ -61,7 +61,7 @@
 
 	random     *rand.Rand
 	now        time.Time
-	tracker    *Book
+	tracker    *Tracker
 	servers    []*simulatedServer
 	next       fingerprint.Fingerprint
 	evaluateAt time.Time
@@ -79,7 +79,7 @@
 	simulation := &simulation{
 		mix: mix, random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(0, 0), next: firstOfOthers,
 	}
-	simulation.tracker = New(DefaultSettings(), Alone{}, Alone{}, slog.New(slog.DiscardHandler), func() time.Time { return simulation.now })
+	simulation.tracker = New(DefaultSettings(), Standalone{}, Standalone{}, slog.New(slog.DiscardHandler), func() time.Time { return simulation.now })
 	for range mix.servers {
 		simulation.servers = append(simulation.servers, &simulatedServer{})
 	}
@@ -134,7 +134,7 @@
 // send sends a request to the first server with a free slot, starting from the first server half of
 // the time and from a random one otherwise.
 func (simulation *simulation) send(sent inFlight) {
-	if simulation.tracker.Kept(sent.request) > 0 {
+	if simulation.tracker.Remaining(sent.request) > 0 {
 		if sent.request != harmfulRequest {
 			simulation.refused++
 		}
@@ -169,7 +169,7 @@
 				crashed = true
 				remaining = append(remaining, run)
 			default:
-				simulation.tracker.Served(run.request, simulation.name(number))
+				simulation.tracker.RecordCompletion(run.request, simulation.name(number))
 			}
 		}
 		server.running = remaining
@@ -193,7 +193,7 @@
 	for _, run := range lost {
 		// A harmless request has its first event after a tenth of its run time.
 		hadEvent := run.request != harmfulRequest && run.ends.Sub(simulation.now) < runTime*9/10
-		simulation.tracker.Lost(Loss{Fingerprint: run.request, Server: simulation.name(number), Ran: hadEvent})
+		simulation.tracker.RecordLoss(Loss{Fingerprint: run.request, Server: simulation.name(number), HadEvent: hadEvent})
 		if run.request != harmfulRequest {
 			simulation.hit++
 		}
@@ -229,7 +229,7 @@
 func (simulation *simulation) evaluate() {
 	if !simulation.evaluateAt.IsZero() && !simulation.now.Before(simulation.evaluateAt) {
 		simulation.evaluateAt = time.Time{}
-		simulation.tracker.judge()
+		simulation.tracker.evaluate()
 	}
 }
 
--- a/internal/quarantine/standalone.go
+++ b/internal/quarantine/standalone.go
@@ -4,21 +4,21 @@
 
 // Standalone is the Publisher and Store of a process that shares its observations with no other VM:
 // it evaluates them alone, and stores nothing.
-type Alone struct{}
+type Standalone struct{}
 
 var (
-	_ Publisher = Alone{}
-	_ Store     = Alone{}
+	_ Publisher = Standalone{}
+	_ Store     = Standalone{}
 )
 
 // Evaluates implements Publisher.
-func (Alone) Judges() bool { return true }
+func (Standalone) Evaluates() bool { return true }
 
 // Announce implements Publisher.
-func (Alone) Announce([]Entry) {}
+func (Standalone) Announce([]Entry) {}
 
 // Put implements Store.
-func (Alone) Put(context.Context, Entry) error { return nil }
+func (Standalone) Put(context.Context, Entry) error { return nil }
 
 // List implements Store.
-func (Alone) List(context.Context) ([]Entry, error) { return nil, nil }
+func (Standalone) List(context.Context) ([]Entry, error) { return nil, nil }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -19,7 +19,7 @@
 
 // Tracker collects the losses of servers under requests, and the requests in quarantine. It is safe
 // for concurrent use.
-type Book struct {
+type Tracker struct {
 	settings  Settings
 	store     Store
 	publisher Publisher
@@ -49,7 +49,7 @@
 type Publisher interface {
 	// Evaluates reports whether this VM receives the observations of other VMs, and so evaluates
 	// them.
-	Judges() bool
+	Evaluates() bool
 	// Announce sends new entries to all VMs immediately.
 	Announce(entries []Entry)
 }
@@ -60,14 +60,14 @@
 	// Server is the server's ID.
 	Server string
 	// HadEvent is set if an event of the response had arrived by then.
-	Ran bool
+	HadEvent bool
 	// At is when the server was lost.
 	At time.Time
 }
 
 // New returns an empty tracker.
-func New(settings Settings, store Store, publisher Publisher, logger *slog.Logger, now func() time.Time) *Book {
-	return &Book{
+func New(settings Settings, store Store, publisher Publisher, logger *slog.Logger, now func() time.Time) *Tracker {
+	return &Tracker{
 		settings:  settings,
 		store:     store,
 		publisher: publisher,
@@ -92,8 +92,8 @@
 
 // evaluate adds entries for the requests found to be harmful, provided that this VM receives the
 // observations of others. It returns the entries to publish.
-func (tracker *Book) judge() []Entry {
-	evaluates := tracker.publisher.Judges()
+func (tracker *Tracker) evaluate() []Entry {
+	evaluates := tracker.publisher.Evaluates()
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	if evaluates {
@@ -104,11 +104,11 @@
 	return found
 }
 
-func (tracker *Book) findHarmful(now time.Time) {
+func (tracker *Tracker) findHarmful(now time.Time) {
 	evidence := evidence{crashes: tracker.crashes, now: now, settings: tracker.settings}
 	for _, suspect := range tracker.suspects.Values() {
 		entry := suspect.entry
-		if entry != nil && now.Before(entry.Until) || !evidence.harmful(suspect) {
+		if entry != nil && now.Before(entry.Until) || !evidence.isHarmful(suspect) {
 			continue
 		}
 		times := 1
@@ -118,15 +118,15 @@
 		added := Entry{
 			Fingerprint: suspect.fingerprint, Times: times, Until: now.Add(tracker.settings.duration(times)),
 		}
-		tracker.enter(added)
+		tracker.addEntry(added)
 		tracker.logger.Warn("request quarantined", "fingerprint", added.Fingerprint, "times", times,
-			"lost", servers(suspect.crashes), "until", added.Until)
+			"lost", serverIDs(suspect.crashes), "until", added.Until)
 		tracker.found = append(tracker.found, added)
 	}
 }
 
 // serverIDs returns the IDs of the servers that were lost.
-func servers(crashes []*crash) []string {
+func serverIDs(crashes []*crash) []string {
 	ids := make([]string, 0, len(crashes))
 	for _, crash := range crashes {
 		ids = append(ids, crash.server)
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -76,7 +76,7 @@
 
 var _ quarantine.Publisher = (*publisher)(nil)
 
-func (publisher *publisher) Judges() bool { return publisher.evaluates }
+func (publisher *publisher) Evaluates() bool { return publisher.evaluates }
 
 func (publisher *publisher) Announce(entries []quarantine.Entry) {
 	publisher.mu.Lock()
@@ -92,7 +92,7 @@
 
 // fixture is a running tracker in virtual time.
 type fixture struct {
-	*quarantine.Book
+	*quarantine.Tracker
 
 	settings  quarantine.Settings
 	store     *store
@@ -105,7 +105,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fixture := &fixture{settings: quarantine.DefaultSettings(), store: store, publisher: &publisher{evaluates: true}}
-		fixture.Book = quarantine.New(fixture.settings, store, fixture.publisher, slog.New(slog.DiscardHandler), time.Now)
+		fixture.Tracker = quarantine.New(fixture.settings, store, fixture.publisher, slog.New(slog.DiscardHandler), time.Now)
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -124,7 +124,7 @@
 // own.
 func (fixture *fixture) lose(server int, requests ...fingerprint.Fingerprint) {
 	for _, request := range requests {
-		fixture.Lost(quarantine.Loss{Fingerprint: request, Server: fmt.Sprintf("s%d", server)})
+		fixture.RecordLoss(quarantine.Loss{Fingerprint: request, Server: fmt.Sprintf("s%d", server)})
 	}
 	time.Sleep(step)
 }
@@ -142,7 +142,7 @@
 func (fixture *fixture) loseInWaves(count int) {
 	for range count {
 		fixture.next += 2
-		fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", fixture.next)})
+		fixture.RecordLoss(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", fixture.next)})
 		fixture.lose(fixture.next+1, bystander+fingerprint.Fingerprint(fixture.next))
 	}
 }
@@ -158,14 +158,14 @@
 		"three losses": {want: true, action: func(fixture *fixture) { fixture.loseEach(3, cause) }},
 		"some losses reported by another VM": {want: true, action: func(fixture *fixture) {
 			fixture.lose(1, cause)
-			fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s2"}, 20*time.Millisecond)
+			fixture.RecordRemoteLoss(quarantine.Loss{Fingerprint: cause, Server: "s2"}, 20*time.Millisecond)
 			time.Sleep(step)
-			fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s3"}, 20*time.Millisecond)
+			fixture.RecordRemoteLoss(quarantine.Loss{Fingerprint: cause, Server: "s3"}, 20*time.Millisecond)
 			time.Sleep(step)
 		}},
 		"one loss reported three times": {action: func(fixture *fixture) {
 			for range 3 {
-				fixture.LostElsewhere(quarantine.Loss{Fingerprint: cause, Server: "s1"}, 0)
+				fixture.RecordRemoteLoss(quarantine.Loss{Fingerprint: cause, Server: "s1"}, 0)
 				time.Sleep(step)
 			}
 		}},
@@ -177,33 +177,33 @@
 		}},
 		"a VM loses all its connections at once": {action: func(fixture *fixture) {
 			for server := range 8 {
-				fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", server)})
+				fixture.RecordLoss(quarantine.Loss{Fingerprint: cause, Server: fmt.Sprintf("s%d", server)})
 			}
 			time.Sleep(step)
 		}},
 		"four losses at the same moments as servers without the request": {action: func(fixture *fixture) { fixture.loseInWaves(4) }},
 		"five losses at the same moments as servers without the request": {want: true, action: func(fixture *fixture) { fixture.loseInWaves(5) }},
 		"old success and four losses": {action: func(fixture *fixture) {
-			fixture.Served(cause, "s99")
+			fixture.RecordCompletion(cause, "s99")
 			time.Sleep(time.Minute)
 			fixture.loseEach(4, cause)
 		}},
 		"old success and five losses": {want: true, action: func(fixture *fixture) {
-			fixture.Served(cause, "s99")
+			fixture.RecordCompletion(cause, "s99")
 			time.Sleep(time.Minute)
 			fixture.loseEach(5, cause)
 		}},
 		"more successes than losses": {action: func(fixture *fixture) {
 			for range 20 {
-				fixture.Served(cause, "s99")
-				fixture.Served(cause, "s98")
+				fixture.RecordCompletion(cause, "s99")
+				fixture.RecordCompletion(cause, "s98")
 				fixture.loseEach(1, cause)
 			}
 		}},
 		"servers respond right after their losses": {action: func(fixture *fixture) {
 			for server := range 5 {
 				fixture.lose(server, cause)
-				fixture.Served(bystander, fmt.Sprintf("s%d", server))
+				fixture.RecordCompletion(bystander, fmt.Sprintf("s%d", server))
 			}
 		}},
 		"another request is the cause": {action: func(fixture *fixture) {
@@ -224,7 +224,7 @@
 		t.Run(name, func(t *testing.T) {
 			withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
 				test.action(fixture)
-				assert.Equal(t, fixture.Kept(cause) > 0, test.want)
+				assert.Equal(t, fixture.Remaining(cause) > 0, test.want)
 				assert.Equal(t, fixture.publisher.count() > 0, len(fixture.Entries()) > 0)
 			})
 		})
@@ -236,11 +236,11 @@
 func TestBystander(t *testing.T) {
 	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
 		fixture.loseEach(3, cause, bystander)
-		assert.Equal(t, fixture.Kept(cause), time.Duration(0), "either may be the cause")
+		assert.Equal(t, fixture.Remaining(cause), time.Duration(0), "either may be the cause")
 		fixture.loseEach(1, cause)
-		assert.Assert(t, fixture.Kept(cause) > 0)
+		assert.Assert(t, fixture.Remaining(cause) > 0)
 		fixture.loseEach(2, bystander)
-		assert.Equal(t, fixture.Kept(bystander), time.Duration(0), "the cause explains three of five losses")
+		assert.Equal(t, fixture.Remaining(bystander), time.Duration(0), "the cause explains three of five losses")
 	})
 }
 
@@ -250,12 +250,12 @@
 	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
 		for server := range 3 {
 			name := fmt.Sprintf("s%d", server)
-			fixture.Lost(quarantine.Loss{Fingerprint: bystander, Server: name, Ran: true})
-			fixture.Lost(quarantine.Loss{Fingerprint: cause, Server: name})
+			fixture.RecordLoss(quarantine.Loss{Fingerprint: bystander, Server: name, HadEvent: true})
+			fixture.RecordLoss(quarantine.Loss{Fingerprint: cause, Server: name})
 			time.Sleep(step)
 		}
-		assert.Assert(t, fixture.Kept(cause) > 0)
-		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+		assert.Assert(t, fixture.Remaining(cause) > 0)
+		assert.Equal(t, fixture.Remaining(bystander), time.Duration(0))
 	})
 }
 
@@ -264,14 +264,14 @@
 func TestProbation(t *testing.T) {
 	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
 		fixture.loseEach(3, cause)
-		assert.Assert(t, !fixture.OnTrial(cause))
+		assert.Assert(t, !fixture.OnProbation(cause))
 		time.Sleep(fixture.settings.Time)
-		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		assert.Equal(t, fixture.Remaining(cause), time.Duration(0))
 		assert.Equal(t, len(fixture.Entries()), 0)
-		assert.Assert(t, fixture.OnTrial(cause))
+		assert.Assert(t, fixture.OnProbation(cause))
 		fixture.loseEach(1, cause, bystander)
-		assert.Assert(t, fixture.Kept(cause) > 2*fixture.settings.Time-step)
-		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+		assert.Assert(t, fixture.Remaining(cause) > 2*fixture.settings.Time-step)
+		assert.Equal(t, fixture.Remaining(bystander), time.Duration(0))
 		assert.Equal(t, fixture.Entries()[0].Times, 2)
 	})
 }
@@ -283,7 +283,7 @@
 	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
 		stored.setUnavailable(true)
 		fixture.loseEach(3, cause)
-		assert.Assert(t, fixture.Kept(cause) > 0, "independent of the store")
+		assert.Assert(t, fixture.Remaining(cause) > 0, "independent of the store")
 		time.Sleep(time.Second)
 		stored.setUnavailable(false)
 		time.Sleep(time.Second)
@@ -292,10 +292,10 @@
 	stored.setUnavailable(true)
 	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
 		time.Sleep(time.Second)
-		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		assert.Equal(t, fixture.Remaining(cause), time.Duration(0))
 		stored.setUnavailable(false)
 		time.Sleep(time.Second)
-		assert.Assert(t, fixture.Kept(cause) > 0)
+		assert.Assert(t, fixture.Remaining(cause) > 0)
 	})
 }
 
@@ -305,18 +305,18 @@
 	stored := &store{}
 	withFixture(t, stored, func(t *testing.T, fixture *fixture) {
 		fixture.loseEach(3, cause)
-		assert.Assert(t, fixture.Kept(cause) > 0)
-		fixture.Served(cause, "s99")
-		assert.Equal(t, fixture.Kept(cause), time.Duration(0))
+		assert.Assert(t, fixture.Remaining(cause) > 0)
+		fixture.RecordCompletion(cause, "s99")
+		assert.Equal(t, fixture.Remaining(cause), time.Duration(0))
 		time.Sleep(step)
 		assert.Equal(t, fixture.publisher.count(), 2)
 		assert.Equal(t, stored.count(), 2)
-		lifted := fixture.Tell()[0]
+		lifted := fixture.PublishableEntries()[0]
 		assert.Equal(t, lifted.Times, 2)
 		other := quarantine.New(fixture.settings, stored, fixture.publisher, slog.New(slog.DiscardHandler), time.Now)
-		other.Told([]quarantine.Entry{{Fingerprint: cause, Until: time.Now().Add(time.Minute), Times: 1}})
-		other.Told([]quarantine.Entry{lifted})
-		assert.Equal(t, other.Kept(cause), time.Duration(0))
+		other.ApplyEntries([]quarantine.Entry{{Fingerprint: cause, Until: time.Now().Add(time.Minute), Times: 1}})
+		other.ApplyEntries([]quarantine.Entry{lifted})
+		assert.Equal(t, other.Remaining(cause), time.Duration(0))
 	})
 }
 
@@ -328,11 +328,11 @@
 		stop := fixture.Watch(cause, func() { notifications++ })
 		defer fixture.Watch(bystander, func() { t.Error("another request") })()
 		entry := quarantine.Entry{Fingerprint: cause, Until: time.Now().Add(time.Minute), Times: 1}
-		fixture.Told([]quarantine.Entry{entry, entry})
+		fixture.ApplyEntries([]quarantine.Entry{entry, entry})
 		assert.Equal(t, notifications, 1)
 		stop()
 		entry.Times = 2
-		fixture.Told([]quarantine.Entry{entry})
+		fixture.ApplyEntries([]quarantine.Entry{entry})
 		assert.Equal(t, notifications, 1)
 	})
 }
@@ -341,12 +341,12 @@
 // VM, and against expired entries.
 func TestRemoteEntryTimesAreLimited(t *testing.T) {
 	withFixture(t, &store{}, func(t *testing.T, fixture *fixture) {
-		fixture.Told([]quarantine.Entry{
+		fixture.ApplyEntries([]quarantine.Entry{
 			{Fingerprint: cause, Until: time.Now().AddDate(1, 0, 0), Times: 1},
 			{Fingerprint: bystander, Until: time.Now().Add(-time.Second), Times: 1},
 		})
-		assert.Equal(t, fixture.Kept(cause), fixture.settings.TimeMax)
-		assert.Equal(t, fixture.Kept(bystander), time.Duration(0))
+		assert.Equal(t, fixture.Remaining(cause), fixture.settings.TimeMax)
+		assert.Equal(t, fixture.Remaining(bystander), time.Duration(0))
 	})
 }
 
@@ -357,7 +357,7 @@
 	number := uint64(0)
 	for b.Loop() {
 		number++
-		tracker.LostElsewhere(quarantine.Loss{
+		tracker.RecordRemoteLoss(quarantine.Loss{
 			Fingerprint: fingerprint.Fingerprint(number), Server: fmt.Sprintf("s%d", number/16),
 		}, 0)
 	}
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -11,7 +11,7 @@
 // queued, or that a server has not begun to run: otherwise the attempts in flight when the cause is
 // found crash their servers too. The tracker's lock is held during the call, so notify must not
 // block or call the tracker.
-func (tracker *Book) Watch(request fingerprint.Fingerprint, notify func()) (stop func()) {
+func (tracker *Tracker) Watch(request fingerprint.Fingerprint, notify func()) (stop func()) {
 	added := &watch{notify: notify}
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
