--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -85,7 +85,7 @@
 	served, err := gateway.New(tuning, site, platform.Codec{}, platform.Orders{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
-		Register:      platform.NewMembers(store, logger),
+		Registry:      platform.NewMembers(store, logger),
 		Quarantine:    platform.NewQuarantine(store, logger),
 		Epochs:        epochs,
 	}, system, clock, logger)
--- a/internal/coordinator/fleetregister_test.go
+++ b/internal/coordinator/fleetregister_test.go
@@ -7,15 +7,15 @@
 	"github.com/mastwinch/mastwinch/internal/exchange"
 )
 
-// fleetRegister implements exchange.Register in memory.
+// fleetRegister implements exchange.Registry in memory.
 type fleetRegister struct {
 	mu      sync.Mutex
 	members map[string]exchange.Member
 }
 
-var _ exchange.Register = (*fleetRegister)(nil)
+var _ exchange.Registry = (*fleetRegister)(nil)
 
-func (fleetregister *fleetRegister) Enter(_ context.Context, member exchange.Member) error {
+func (fleetregister *fleetRegister) Register(_ context.Context, member exchange.Member) error {
 	fleetregister.mu.Lock()
 	defer fleetregister.mu.Unlock()
 	fleetregister.members[member.VM] = member
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -35,8 +35,10 @@
 
 var _ exchange.Sink = (*fleetVM)(nil)
 
-// Told implements exchange.Sink.
-func (vm *fleetVM) Told(name string, reports []pool.Report) { vm.pool.ApplyReports(name, reports) }
+// HandleReports implements exchange.Sink.
+func (vm *fleetVM) HandleReports(name string, reports []pool.Report) {
+	vm.pool.HandleReports(name, reports)
+}
 
 // Own implements exchange.Sink.
 func (vm *fleetVM) Own() []pool.Report {
@@ -56,8 +58,8 @@
 // Quarantined implements exchange.Sink.
 func (*fleetVM) Quarantined() []quarantine.Entry { return nil }
 
-// ToldQuarantined implements exchange.Sink.
-func (*fleetVM) ToldQuarantined([]quarantine.Entry) {}
+// HandleQuarantined implements exchange.Sink.
+func (*fleetVM) HandleQuarantined([]quarantine.Entry) {}
 
 // Blind implements exchange.Sink.
 func (*fleetVM) Blind() bool { return false }
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/simulation_test.go
@@ -172,7 +172,7 @@
 func (testvm *testVM) publish(reports []pool.Report) {
 	for _, name := range testvm.simulation.coordinators {
 		if name != testvm.name && len(reports) > 0 {
-			testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.pool.ApplyReports(testvm.name, reports) })
+			testvm.simulation.deliver(testvm.name, name, func(to *testVM) { to.pool.HandleReports(testvm.name, reports) })
 		}
 	}
 }
--- a/internal/exchange/addresses.go
+++ b/internal/exchange/addresses.go
@@ -3,11 +3,11 @@
 import "net"
 
 // coordinatorAddresses returns the addresses of the coordinators without this VM.
-func (exchange *Exchange) deciding() []net.Addr {
+func (exchange *Exchange) coordinatorAddresses() []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	var addresses []net.Addr
-	for _, vm := range exchange.chosen() {
+	for _, vm := range exchange.currentCoordinators() {
 		if vm != exchange.self.VM {
 			addresses = append(addresses, exchange.peers[vm].address)
 		}
@@ -16,7 +16,7 @@
 }
 
 // allAddresses returns the addresses of all known VMs without this one.
-func (exchange *Exchange) everyone() []net.Addr {
+func (exchange *Exchange) allAddresses() []net.Addr {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	addresses := make([]net.Addr, 0, len(exchange.peers))
--- a/internal/exchange/asks_internal_test.go
+++ b/internal/exchange/asks_internal_test.go
@@ -14,17 +14,17 @@
 )
 
 // minuteInMilliseconds bounds the drawn durations.
-const aMinute = 60_000
+const minuteInMilliseconds = 60_000
 
 // drawMilliseconds draws a duration from minimum, in milliseconds, to one minute.
 func drawMilliseconds(t *rapid.T, minimum int, label string) time.Duration {
-	return time.Duration(rapid.IntRange(minimum, aMinute).Draw(t, label)) * time.Millisecond
+	return time.Duration(rapid.IntRange(minimum, minuteInMilliseconds).Draw(t, label)) * time.Millisecond
 }
 
 // TestAsksAndAnswersRoundTrip checks that random asks and answers are unchanged after they are encoded to a datagram and
 // decoded.
 func TestAsksAndAnswersRoundTrip(t *testing.T) {
-	names := rapid.SliceOfN(rapid.StringMatching(`[a-z0-9-]{1,20}`), 0, dispatchServers)
+	names := rapid.SliceOfN(rapid.StringMatching(`[a-z0-9-]{1,20}`), 0, maxServersPerRequest)
 	rapid.Check(t, func(t *rapid.T) {
 		ask := dispatch.AssignmentRequest{
 			ID:                   rapid.Uint64().Draw(t, "id"),
@@ -33,8 +33,8 @@
 			Memory:               rapid.IntRange(0, 2_000_000).Draw(t, "memory"),
 			InterTokenObjective:  drawMilliseconds(t, 0, "gap"),
 			Objective:            drawMilliseconds(t, 0, "objective"),
-			TimeToObjective:      drawMilliseconds(t, -aMinute, "due"),
-			TimeToCallerDeadline: drawMilliseconds(t, -aMinute, "stays"),
+			TimeToObjective:      drawMilliseconds(t, -minuteInMilliseconds, "due"),
+			TimeToCallerDeadline: drawMilliseconds(t, -minuteInMilliseconds, "stays"),
 			DataCentre:           rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "data centre"),
 			Tried:                names.Draw(t, "tried"),
 			AllowedDataCentres:   names.Draw(t, "kept to"),
@@ -47,7 +47,7 @@
 			Decision:         dispatch.Decision(rapid.IntRange(0, 2).Draw(t, "decision")),
 			Servers:          names.Draw(t, "servers"),
 			PrefillPerServer: time.Duration(rapid.IntRange(0, math.MaxInt32).Draw(t, "part")) * time.Microsecond,
-			MemoryShares:     rapid.SliceOfN(rapid.IntRange(0, 2_000_000), 0, dispatchServers).Draw(t, "shares"),
+			MemoryShares:     rapid.SliceOfN(rapid.IntRange(0, 2_000_000), 0, maxServersPerRequest).Draw(t, "shares"),
 			PredictedTTFT:    drawMilliseconds(t, 0, "predicted"),
 			Packable:         rapid.Bool().Draw(t, "tight"),
 			RetryAfter:       drawMilliseconds(t, 0, "return"),
@@ -86,7 +86,7 @@
 }
 
 // maxServersPerRequest is the maximum number of servers that one request is assigned to.
-const dispatchServers = 17
+const maxServersPerRequest = 17
 
 // FuzzDatagram decodes arbitrary datagrams. It checks that decoding doesn't panic, and neither drops nor adds elements.
 func FuzzDatagram(f *testing.F) {
@@ -104,7 +104,7 @@
 		if proto.Unmarshal(data, update) != nil {
 			return
 		}
-		assert.Equal(t, len(decode(update.GetSendings())), len(update.GetSendings()))
+		assert.Equal(t, len(decodeReports(update.GetSendings())), len(update.GetSendings()))
 		assert.Equal(t, len(decodeAsks(update.GetAsks())), len(update.GetAsks()))
 		assert.Equal(t, len(decodeAnswers(update.GetVerdicts())), len(update.GetVerdicts()))
 	})
--- a/internal/exchange/bench_internal_test.go
+++ b/internal/exchange/bench_internal_test.go
@@ -18,10 +18,10 @@
 			exchange := New(DefaultSettings(), self, nil, nil, nil, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 			for number := 1; number < count; number++ {
 				vm := fmt.Sprintf("vm-%d", number)
-				exchange.know(Member{
+				exchange.addPeer(Member{
 					VM: vm, Address: "10.0.0.2:7340", DataCentre: fmt.Sprintf("dc-%d", number%5), Capacity: 20 + 180*(number%20/19),
 				})
-				exchange.peers[vm].heard = time.Now().Add(time.Hour)
+				exchange.peers[vm].lastSeen = time.Now().Add(time.Hour)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -37,11 +37,11 @@
 	exchange := New(DefaultSettings(), self, nil, nil, nil, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 	for number := 1; number < 295; number++ {
 		vm := fmt.Sprintf("vm-%d", number)
-		exchange.know(Member{VM: vm, Address: "10.0.0.2:7340", DataCentre: fmt.Sprintf("dc-%d", number%5), Capacity: 20})
-		exchange.peers[vm].heard = time.Now().Add(time.Hour)
+		exchange.addPeer(Member{VM: vm, Address: "10.0.0.2:7340", DataCentre: fmt.Sprintf("dc-%d", number%5), Capacity: 20})
+		exchange.peers[vm].lastSeen = time.Now().Add(time.Hour)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		exchange.deciders()
+		exchange.announcedCoordinators()
 	}
 }
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -11,7 +11,7 @@
 // percent converts a pace, a fraction, to the whole percentages on the wire.
 const percent = 100
 
-func encode(reports []pool.Report) []*wire.Sending {
+func encodeReports(reports []pool.Report) []*wire.Sending {
 	sendings := make([]*wire.Sending, 0, len(reports))
 	for _, report := range reports {
 		sendings = append(sendings, &wire.Sending{
@@ -34,7 +34,7 @@
 	return sendings
 }
 
-func decode(sendings []*wire.Sending) []pool.Report {
+func decodeReports(sendings []*wire.Sending) []pool.Report {
 	reports := make([]pool.Report, 0, len(sendings))
 	for _, sending := range sendings {
 		reports = append(reports, pool.Report{
--- a/internal/exchange/codec_internal_test.go
+++ b/internal/exchange/codec_internal_test.go
@@ -30,10 +30,10 @@
 			PerSecond:   rapid.Float64Range(0, 1e6).Draw(t, "per second"),
 			Fingerprint: fingerprint.Fingerprint(rapid.Uint64().Draw(t, "fingerprint")),
 		}
-		data, err := proto.Marshal(&wire.LoadUpdate{Sendings: encode([]pool.Report{report})})
+		data, err := proto.Marshal(&wire.LoadUpdate{Sendings: encodeReports([]pool.Report{report})})
 		assert.NilError(t, err)
 		update := &wire.LoadUpdate{}
 		assert.NilError(t, proto.Unmarshal(data, update))
-		assert.DeepEqual(t, decode(update.GetSendings()), []pool.Report{report})
+		assert.DeepEqual(t, decodeReports(update.GetSendings()), []pool.Report{report})
 	})
 }
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -44,24 +44,24 @@
 	self := exchange.Member{
 		VM: conn.vm, Address: address(number), DataCentre: []string{"north", "south", "west"}[number%3], Capacity: capacity,
 	}
-	instance := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(vms.clock), slog.New(slog.DiscardHandler), vms.clock)
-	sink := &sink{told: make(map[string][]pool.Report)}
+	instance := exchange.New(vms.settings, self, conn, nil, vms.registry, epoch.New(vms.clock), slog.New(slog.DiscardHandler), vms.clock)
+	sink := &sink{received: make(map[string][]pool.Report)}
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { _ = instance.Run(ctx, sink) }()
-	if number < len(vms.parts) {
-		vms.parts[number], vms.sinks[number], vms.stop[number] = instance, sink, stop
+	if number < len(vms.instances) {
+		vms.instances[number], vms.sinks[number], vms.stop[number] = instance, sink, stop
 		return conn
 	}
-	vms.parts, vms.sinks, vms.stop = append(vms.parts, instance), append(vms.sinks, sink), append(vms.stop, stop)
+	vms.instances, vms.sinks, vms.stop = append(vms.instances, instance), append(vms.sinks, sink), append(vms.stop, stop)
 	return conn
 }
 
 // runInFleet runs a test in virtual time with count VMs that have discovered each other.
-func inFleet(t *testing.T, count int, test func(t *testing.T, vms *vms, conns []*countingConn)) {
+func runInFleet(t *testing.T, count int, test func(t *testing.T, vms *vms, conns []*countingConn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 0)
-		defer vms.end()
+		defer vms.stopAll()
 		conns := vms.addFleet(t, count)
 		time.Sleep(3 * time.Second)
 		test(t, vms, conns)
@@ -70,10 +70,10 @@
 
 // agreedCoordinators returns the coordinators, and fails the test if VMs disagree on them. It leaves out the VMs with the
 // numbers except.
-func (vms *vms) agreed(t *testing.T, except ...int) []string {
+func (vms *vms) agreedCoordinators(t *testing.T, except ...int) []string {
 	t.Helper()
 	var agreedCoordinators []string
-	for number, instance := range vms.parts {
+	for number, instance := range vms.instances {
 		excluded := false
 		for _, other := range except {
 			excluded = excluded || other == number
@@ -101,8 +101,8 @@
 // TestVMsReportToCoordinatorsOnly checks that 36 VMs agree on three coordinators with large links in different data
 // centres, and that reports are sent to these alone.
 func TestVMsReportToCoordinatorsOnly(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, conns []*countingConn) {
-		coordinators := vms.agreed(t)
+	runInFleet(t, 36, func(t *testing.T, vms *vms, conns []*countingConn) {
+		coordinators := vms.agreedCoordinators(t)
 		assert.Equal(t, len(coordinators), 3)
 		dataCentres := make(map[int]bool)
 		for _, vm := range coordinators {
@@ -111,12 +111,12 @@
 			dataCentres[number%3] = true
 		}
 		assert.Equal(t, len(dataCentres), 3)
-		for _, instance := range vms.parts {
-			assert.Equal(t, instance.Known(), 36)
+		for _, instance := range vms.instances {
+			assert.Equal(t, instance.KnownCount(), 36)
 		}
 		const reports = 10
 		for id := range uint64(reports) {
-			vms.parts[20].Publish(pool.Report{ID: id, Server: "s1", Phase: pool.PhasePrefill})
+			vms.instances[20].Publish(pool.Report{ID: id, Server: "s1", Phase: pool.PhasePrefill})
 			time.Sleep(5 * time.Millisecond)
 		}
 		assert.Equal(t, conns[20].sent.Load(), int64(3*reports), "reports sent to all VMs would take 35 datagrams each")
@@ -127,7 +127,7 @@
 					want = reports
 				}
 			}
-			assert.Equal(t, len(sink.toldBy("vm-20")), want, "vm-%d", number)
+			assert.Equal(t, len(sink.reportsFrom("vm-20")), want, "vm-%d", number)
 		}
 	})
 }
@@ -136,8 +136,8 @@
 // 6 to 23 VMs that lowered the served fraction of short prompts under overload from 0.39 to 0.31.
 func TestSmallFleetHasCoordinators(t *testing.T) {
 	for _, count := range []int{2, 3, 9} {
-		inFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
-			assert.Equal(t, len(vms.agreed(t)), min(count, 3))
+		runInFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
+			assert.Equal(t, len(vms.agreedCoordinators(t)), min(count, 3))
 		})
 	}
 }
@@ -145,25 +145,25 @@
 // TestNextCoordinatorTakesOver checks the failover when the first coordinator becomes unreachable, and that it is
 // preferred again only some time after its restart, since it has not received all reports before.
 func TestNextCoordinatorTakesOver(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
-		before := vms.agreed(t)
+	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
+		before := vms.agreedCoordinators(t)
 		first := numberOf(t, before[0])
-		vms.network.SetDark(address(first), true)
-		vms.parts[20].ReportUnresponsive(before[0])
-		assert.Equal(t, vms.parts[20].Coordinators()[0], before[1], "a VM that marked it unresponsive must use the next one at once")
+		vms.network.SetUnreachable(address(first), true)
+		vms.instances[20].ReportUnresponsive(before[0])
+		assert.Equal(t, vms.instances[20].Coordinators()[0], before[1], "a VM that marked it unresponsive must use the next one at once")
 		time.Sleep(2200 * time.Millisecond)
-		after := vms.agreed(t, first)
+		after := vms.agreedCoordinators(t, first)
 		assert.Equal(t, after[0], before[1])
 		assert.Equal(t, len(after), 3)
 
 		vms.stop[first]()
 		synctest.Wait()
-		vms.network.SetDark(address(first), false)
+		vms.network.SetUnreachable(address(first), false)
 		vms.addMember(t, first)
 		time.Sleep(700 * time.Millisecond)
-		assert.Assert(t, vms.parts[20].Coordinators()[0] != before[0], "a coordinator that has just started lacks reports")
+		assert.Assert(t, vms.instances[20].Coordinators()[0] != before[0], "a coordinator that has just started lacks reports")
 		time.Sleep(1500 * time.Millisecond)
-		assert.DeepEqual(t, vms.agreed(t), before)
+		assert.DeepEqual(t, vms.agreedCoordinators(t), before)
 	})
 }
 
@@ -171,18 +171,18 @@
 // majority must use the limits whole, and a VM that is partitioned from all others only the share of one VM.
 func TestShareOfPartitions(t *testing.T) {
 	const count = 36
-	inFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
-		coordinators := vms.agreed(t)
+	runInFleet(t, count, func(t *testing.T, vms *vms, _ []*countingConn) {
+		coordinators := vms.agreedCoordinators(t)
 		for _, vm := range coordinators {
-			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "all VMs are live for %s", vm)
+			assert.Equal(t, vms.instances[numberOf(t, vm)].Share(), 1.0, "all VMs are live for %s", vm)
 		}
 		const partitioned = 20
-		vms.network.SetDark(address(partitioned), true)
+		vms.network.SetUnreachable(address(partitioned), true)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, vms.parts[partitioned].Share(), 1.0/count)
-		assert.DeepEqual(t, vms.parts[partitioned].Coordinators(), []string{"vm-20"})
+		assert.Equal(t, vms.instances[partitioned].Share(), 1.0/count)
+		assert.DeepEqual(t, vms.instances[partitioned].Coordinators(), []string{"vm-20"})
 		for _, vm := range coordinators {
-			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0, "all other VMs are live for %s", vm)
+			assert.Equal(t, vms.instances[numberOf(t, vm)].Share(), 1.0, "all other VMs are live for %s", vm)
 		}
 	})
 }
@@ -190,26 +190,26 @@
 // TestUnresponsiveVMIsUsedAgain checks that a VM that was marked unresponsive is a coordinator again once a datagram
 // arrives from it.
 func TestUnresponsiveVMIsUsedAgain(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
+	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		time.Sleep(100 * time.Millisecond) // the heartbeats at 3.0 s would clear a mark set at the same time
-		coordinators := vms.agreed(t)
+		coordinators := vms.agreedCoordinators(t)
 		for _, vm := range coordinators {
-			vms.parts[20].ReportUnresponsive(vm)
+			vms.instances[20].ReportUnresponsive(vm)
 		}
-		assert.Equal(t, len(vms.parts[20].Coordinators()), 0)
+		assert.Equal(t, len(vms.instances[20].Coordinators()), 0)
 		time.Sleep(700 * time.Millisecond)
-		assert.DeepEqual(t, vms.parts[20].Coordinators(), coordinators)
+		assert.DeepEqual(t, vms.instances[20].Coordinators(), coordinators)
 	})
 }
 
 // TestDataCentreHasOneReader checks that the VMs of a data centre agree on one reader of the store, also after that
 // reader becomes unreachable.
 func TestDataCentreHasOneReader(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
+	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		countReaders := func() map[string]int {
 			counts := make(map[string]int)
 			for number := 0; number < 36; number += 3 {
-				role := vms.parts[number].Role(6, func(string) bool { return false })
+				role := vms.instances[number].Role(6, func(string) bool { return false })
 				counts[role.Ask]++
 			}
 			return counts
@@ -222,7 +222,7 @@
 				reader = address
 			}
 		}
-		vms.network.SetDark(reader, true)
+		vms.network.SetUnreachable(reader, true)
 		time.Sleep(2200 * time.Millisecond)
 		after := countReaders()
 		assert.Assert(t, after[reader] == 0, "%v", after)
@@ -233,14 +233,14 @@
 // TestReadersWithoutStoreAreReplaced guards against VMs that each read the store themselves, with four calls a second,
 // because the store rejects the first three readers of their data centre. They must agree on a reader that it answers.
 func TestReadersWithoutStoreAreReplaced(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
+	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		never := func(string) bool { return false }
 		rejected := make(map[string]bool)
 		for range 3 {
-			reader := vms.parts[33].Role(6, never).Ask
-			for number := range vms.parts {
+			reader := vms.instances[33].Role(6, never).Ask
+			for number := range vms.instances {
 				if address(number) == reader {
-					vms.sinks[number].setBlind(true)
+					vms.sinks[number].setStoreUnavailable(true)
 				}
 			}
 			rejected[reader] = true
@@ -250,7 +250,7 @@
 		readers := make(map[string]int)
 		for number := 0; number < 36; number += 3 {
 			if !rejected[address(number)] {
-				readers[vms.parts[number].Role(6, never).Ask]++
+				readers[vms.instances[number].Role(6, never).Ask]++
 			}
 		}
 		assert.Equal(t, len(readers), 2, "the reader's address, and an empty one at the reader itself: %v", readers)
@@ -260,8 +260,8 @@
 // TestRestartedVMsDoNotRegisterAgain checks that VMs that are registered already discover each other by one read of the
 // registry. Registering again would take longer, since the store handles writes one after the other.
 func TestRestartedVMsDoNotRegisterAgain(t *testing.T) {
-	inFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
-		registrations := vms.register.count()
+	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
+		registrations := vms.registry.registrationCount()
 		assert.Assert(t, registrations >= 7, "%d registrations, too few for discovery", registrations)
 		for number, stop := range vms.stop {
 			stop()
@@ -269,23 +269,23 @@
 			vms.addMember(t, number)
 		}
 		time.Sleep(300 * time.Millisecond)
-		assert.Equal(t, vms.register.count(), registrations)
-		for _, instance := range vms.parts {
-			assert.Equal(t, instance.Known(), 36)
+		assert.Equal(t, vms.registry.registrationCount(), registrations)
+		for _, instance := range vms.instances {
+			assert.Equal(t, instance.KnownCount(), 36)
 		}
-		assert.Equal(t, len(vms.agreed(t)), 3)
+		assert.Equal(t, len(vms.agreedCoordinators(t)), 3)
 	})
 }
 
 // registerGone registers VMs with large links that are permanently gone.
-func (vms *vms) enterGone(t *testing.T, count int) {
+func (vms *vms) registerGone(t *testing.T, count int) {
 	t.Helper()
 	for number := range count {
 		gone := exchange.Member{
 			VM: fmt.Sprintf("gone-%d", number), Address: address(100 + number),
 			DataCentre: []string{"north", "south", "west"}[number%3], Capacity: largeLink,
 		}
-		assert.NilError(t, vms.register.Enter(t.Context(), gone))
+		assert.NilError(t, vms.registry.Register(t.Context(), gone))
 	}
 }
 
@@ -294,11 +294,11 @@
 func TestVMsFindEachOtherDespiteGoneVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 0)
-		defer vms.end()
-		vms.enterGone(t, 40)
+		defer vms.stopAll()
+		vms.registerGone(t, 40)
 		vms.addFleet(t, 12)
 		time.Sleep(6 * time.Second)
-		coordinators := vms.agreed(t)
+		coordinators := vms.agreedCoordinators(t)
 		assert.Equal(t, len(coordinators), 3)
 		for _, vm := range coordinators {
 			assert.Assert(t, numberOf(t, vm) < 6, "%s has a small link", vm)
@@ -313,11 +313,11 @@
 	for range 10 {
 		synctest.Test(t, func(t *testing.T) {
 			vms := newVMs(t, 0)
-			defer vms.end()
-			vms.enterGone(t, 40)
+			defer vms.stopAll()
+			vms.registerGone(t, 40)
 			vms.addFleet(t, 12)
 			time.Sleep(2 * time.Second)
-			assert.Equal(t, len(vms.agreed(t)), 3)
+			assert.Equal(t, len(vms.agreedCoordinators(t)), 3)
 		})
 	}
 }
@@ -327,23 +327,23 @@
 func TestShareIgnoresGoneVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 0)
-		defer vms.end()
-		vms.enterGone(t, 40)
+		defer vms.stopAll()
+		vms.registerGone(t, 40)
 		vms.addFleet(t, 12)
 		time.Sleep(6 * time.Second)
-		for _, vm := range vms.agreed(t) {
-			assert.Equal(t, vms.parts[numberOf(t, vm)].Share(), 1.0)
+		for _, vm := range vms.agreedCoordinators(t) {
+			assert.Equal(t, vms.instances[numberOf(t, vm)].Share(), 1.0)
 		}
 	})
 }
 
 // suspendable is the clock of a VM that can be suspended. It runs ahead of time.Now by the time of the suspensions.
-type sleeper struct {
-	asleep atomic.Int64
+type suspendable struct {
+	offset atomic.Int64
 }
 
-func (suspendable *sleeper) now() time.Time {
-	return time.Now().Add(time.Duration(suspendable.asleep.Load()))
+func (suspendable *suspendable) now() time.Time {
+	return time.Now().Add(time.Duration(suspendable.offset.Load()))
 }
 
 // TestResumedVMKeepsCoordinators guards against a VM that assigns requests by outdated reports right after a suspension.
@@ -354,20 +354,20 @@
 			t.Run(suspended.String()+", "+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					vms := newVMs(t, 0)
-					defer vms.end()
+					defer vms.stopAll()
 					vms.addFleet(t, 5)
-					clock := &sleeper{}
+					clock := &suspendable{}
 					vms.clock = clock.now
 					vms.addMember(t, 20)
 					time.Sleep(3100 * time.Millisecond)
-					resumed := vms.parts[5]
+					resumed := vms.instances[5]
 					before := resumed.Coordinators()
 					assert.Assert(t, before[0] != "vm-20")
 					for number := range 5 {
-						vms.network.SetDark(address(number), unreachable)
+						vms.network.SetUnreachable(address(number), unreachable)
 					}
-					clock.asleep.Add(int64(suspended))
-					resumed.WokeUp(suspended)
+					clock.offset.Add(int64(suspended))
+					resumed.Resumed(suspended)
 					assert.Equal(t, resumed.Coordinators()[0], before[0], "the earlier coordinator must be kept at first")
 					time.Sleep(700 * time.Millisecond)
 					want := before[0]
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -24,18 +24,18 @@
 
 // maxReportsPerDatagram keeps a datagram within 1,200 bytes, which fit the MTU of any path. An encoded report takes about
 // 45 bytes.
-const maxSendings = 26
+const maxReportsPerDatagram = 26
 
 // maxDatagram is the size of the receive buffer, in bytes. A longer datagram is truncated.
 const maxDatagram = 8 << 10
 
 // departedTimeout is the time without a datagram after which a VM counts as permanently gone rather than partitioned.
-const shareTime = 5 * time.Minute
+const departedTimeout = 5 * time.Minute
 
 // Sink handles what other VMs send, and provides this VM's own state for the datagrams.
 type Sink interface {
 	// HandleReports handles the reports of another VM.
-	Told(vm string, reports []pool.Report)
+	HandleReports(vm string, reports []pool.Report)
 	// Own returns all current reports of this VM, which each heartbeat repeats.
 	Own() []pool.Report
 	// HandleRequests handles requests for servers that another VM sends to this coordinator.
@@ -45,7 +45,7 @@
 	// Quarantined returns the quarantined requests, which this VM sends to no server, the newest entries first.
 	Quarantined() []quarantine.Entry
 	// HandleQuarantined handles the quarantine entries of another VM.
-	ToldQuarantined(entries []quarantine.Entry)
+	HandleQuarantined(entries []quarantine.Entry)
 	// Blind reports whether the platform's store does not answer this VM. Datagrams carry it in the field of this name.
 	Blind() bool
 }
@@ -56,22 +56,22 @@
 
 	address net.Addr
 	// lastSeen is when its last datagram arrived, or zero.
-	heard time.Time
+	lastSeen time.Time
 	// lastHello is when this VM last said hello to it because another VM named it, or zero.
-	greeted time.Time
+	lastHello time.Time
 	// startedAt is since when it receives datagrams, by its own report, or zero if it has not reported that.
-	started time.Time
+	startedAt time.Time
 	// storeUnavailable reports whether the platform's store did not answer it, by its last report.
-	blind bool
+	storeUnavailable bool
 	// unresponsive reports whether it failed to answer a request and has sent no datagram since.
-	doubted bool
+	unresponsive bool
 }
 
 // Exchange sends and receives the datagrams of one VM, and tracks its peers. It is safe for concurrent use.
 type Exchange struct {
 	settings Settings
 	self     Member
-	register Register
+	registry Registry
 	// seeds holds the addresses of the VMs that are contacted first at the start. They may be down or gone.
 	seeds  []net.Addr
 	epochs *epoch.Watch
@@ -87,35 +87,35 @@
 	pending []pool.Report
 	// coordinatorRanking holds all VMs, this one included, in order of preference as coordinator. It is nil when the
 	// rankings must be rebuilt.
-	order []string
+	coordinatorRanking []string
 	// dataCentreRankings holds the VMs of each data centre in the same order, data centres in the order of their first VMs.
 	// It is built with coordinatorRanking.
-	groups [][]string
+	dataCentreRankings [][]string
 	// readerRankings holds the VMs of each data centre in order of preference as reader. It is built with
 	// coordinatorRanking.
-	byReader map[string][]string
+	readerRankings map[string][]string
 	// coordinatorSince holds since when each current coordinator is one.
-	chosenSince map[string]time.Time
+	coordinatorSince map[string]time.Time
 	// helloCursor is the position of the round-robin over VMs that are down.
-	turn int
+	helloCursor int
 	// reportedKnown is the largest number of known VMs that a peer has reported.
-	knownElsewhere int
+	reportedKnown int
 	// reportedLive is the largest number of live VMs that a peer has reported recently, and reportedLiveAt the time of that
 	// report.
-	heardElsewhere   int
-	heardElsewhereAt time.Time
+	reportedLive   int
+	reportedLiveAt time.Time
 	// joined reports whether this VM can find the coordinators: it has read the registry, or a coordinator has answered.
-	met bool
+	joined bool
 	// joinedSignal is closed when joined becomes true.
-	metNow chan struct{}
+	joinedSignal chan struct{}
 	// registered reports whether this VM was in the registry when it last read or wrote it.
-	entered bool
+	registered bool
 	// counts caches the results of countSeenWithin by their time window.
-	counts map[time.Duration]heardCount
+	counts map[time.Duration]cachedCount
 	// startedAt is since when this VM receives datagrams.
-	started time.Time
+	startedAt time.Time
 	// pendingSignal holds an element while reports are pending.
-	wake chan struct{}
+	pendingSignal chan struct{}
 }
 
 var _ pool.Publisher = (*Exchange)(nil)
@@ -124,26 +124,26 @@
 // discovers the fleet through the VMs at the addresses of seeds, which may be down or gone, and through the registry if
 // none of them answers.
 func New(
-	settings Settings, self Member, conn net.PacketConn, seeds []string, registry Register,
+	settings Settings, self Member, conn net.PacketConn, seeds []string, registry Registry,
 	epochs *epoch.Watch, logger *slog.Logger, now func() time.Time,
 ) *Exchange {
 	return &Exchange{
-		settings: settings,
-		self:     self,
-		register: registry,
-		seeds:    addressesOf(seeds, self, logger),
-		epochs:   epochs,
-		logger:   logger,
-		now:      now,
-		conn:     conn,
-		peers:    make(map[string]*peer),
-		started:  now(),
+		settings:  settings,
+		self:      self,
+		registry:  registry,
+		seeds:     parseSeeds(seeds, self, logger),
+		epochs:    epochs,
+		logger:    logger,
+		now:       now,
+		conn:      conn,
+		peers:     make(map[string]*peer),
+		startedAt: now(),
 
-		chosenSince: make(map[string]time.Time),
-		metNow:      make(chan struct{}),
-		counts:      make(map[time.Duration]heardCount),
+		coordinatorSince: make(map[string]time.Time),
+		joinedSignal:     make(chan struct{}),
+		counts:           make(map[time.Duration]cachedCount),
 
-		wake: make(chan struct{}, 1),
+		pendingSignal: make(chan struct{}, 1),
 	}
 }
 
@@ -153,7 +153,7 @@
 	exchange.pending = append(exchange.pending, report)
 	exchange.mu.Unlock()
 	select {
-	case exchange.wake <- struct{}{}:
+	case exchange.pendingSignal <- struct{}{}:
 	default:
 	}
 }
@@ -163,11 +163,11 @@
 func (exchange *Exchange) Members() (int, bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	return exchange.members(), exchange.met
+	return exchange.liveCount(), exchange.joined
 }
 
-func (exchange *Exchange) members() int {
-	return exchange.heardWithin(exchange.settings.Silence)
+func (exchange *Exchange) liveCount() int {
+	return exchange.countSeenWithin(exchange.settings.PeerTimeout)
 }
 
 // Share implements pool.Publisher. It returns the part of the fleet's limits that this VM's partition may use. A partition
@@ -176,10 +176,10 @@
 func (exchange *Exchange) Share() float64 {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	live := exchange.members()
-	total := exchange.heardWithin(shareTime)
-	if exchange.now().Sub(exchange.heardElsewhereAt) < shareTime {
-		total = max(total, exchange.heardElsewhere)
+	live := exchange.liveCount()
+	total := exchange.countSeenWithin(departedTimeout)
+	if exchange.now().Sub(exchange.reportedLiveAt) < departedTimeout {
+		total = max(total, exchange.reportedLive)
 	}
 	if 2*live > total {
 		return 1
@@ -188,47 +188,47 @@
 }
 
 // cachedCount is a number of VMs, and when it was counted.
-type heardCount struct {
-	count int
-	at    time.Time
+type cachedCount struct {
+	count     int
+	countedAt time.Time
 }
 
 // countCacheTTL is how long a cached count is used. The counts are part of heartbeat answers, of which there may be
 // thousands a second.
-const countAge = 20 * time.Millisecond
+const countCacheTTL = 20 * time.Millisecond
 
 // countSeenWithin returns how many VMs sent a datagram within the window, this one included.
-func (exchange *Exchange) heardWithin(window time.Duration) int {
+func (exchange *Exchange) countSeenWithin(window time.Duration) int {
 	now := exchange.now()
-	if cached, found := exchange.counts[window]; found && now.Sub(cached.at) < countAge {
+	if cached, found := exchange.counts[window]; found && now.Sub(cached.countedAt) < countCacheTTL {
 		return cached.count
 	}
 	oldest := now.Add(-window)
 	count := 1
 	for _, peer := range exchange.peers {
-		if peer.heard.After(oldest) {
+		if peer.lastSeen.After(oldest) {
 			count++
 		}
 	}
-	exchange.counts[window] = heardCount{count: count, at: now}
+	exchange.counts[window] = cachedCount{count: count, countedAt: now}
 	return count
 }
 
 // KnownCount returns the number of VMs ever known, this one included. It is the maximum of this VM's count and those that
 // peers have reported.
-func (exchange *Exchange) Known() int {
+func (exchange *Exchange) KnownCount() int {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	return exchange.known()
+	return exchange.knownCount()
 }
 
-func (exchange *Exchange) known() int {
-	return max(exchange.knownElsewhere, 1+len(exchange.peers))
+func (exchange *Exchange) knownCount() int {
+	return max(exchange.reportedKnown, 1+len(exchange.peers))
 }
 
 // live reports whether a datagram of the peer arrived within PeerTimeout.
 func (exchange *Exchange) live(peer *peer) bool {
-	return !peer.heard.IsZero() && exchange.now().Sub(peer.heard) < exchange.settings.Silence
+	return !peer.lastSeen.IsZero() && exchange.now().Sub(peer.lastSeen) < exchange.settings.PeerTimeout
 }
 
 // Run sends and receives datagrams until ctx is done, and closes the connection then. It returns an error if the
@@ -239,45 +239,45 @@
 	defer stop()
 	group.Go(func() error { return exchange.receive(ctx, sink) })
 	group.Go(func() error {
-		exchange.tellChanges(ctx)
+		exchange.sendChanges(ctx)
 		return nil
 	})
 	group.Go(func() error {
-		exchange.tellAll(ctx, sink)
+		exchange.sendHeartbeats(ctx, sink)
 		return nil
 	})
 	group.Go(func() error {
-		exchange.enter(ctx)
-		exchange.stayFound(ctx)
+		exchange.join(ctx)
+		exchange.maintainRegistration(ctx)
 		return nil
 	})
 	group.Go(func() error {
-		exchange.refresh(ctx)
+		exchange.refreshIntroductions(ctx)
 		return nil
 	})
 	return group.Wait()
 }
 
 // sendChanges sends pending reports to the coordinators, after waiting BatchDelay for more of them.
-func (exchange *Exchange) tellChanges(ctx context.Context) {
+func (exchange *Exchange) sendChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-exchange.wake:
+		case <-exchange.pendingSignal:
 		}
-		wait.For(ctx, exchange.settings.Gather)
+		wait.For(ctx, exchange.settings.BatchDelay)
 		exchange.mu.Lock()
 		reports := exchange.pending
 		exchange.pending = nil
 		exchange.mu.Unlock()
-		exchange.send(exchange.deciding(), reports, false)
+		exchange.send(exchange.coordinatorAddresses(), reports, false)
 	}
 }
 
 // sendHeartbeats sends a heartbeat with all of this VM's reports once per HeartbeatInterval.
-func (exchange *Exchange) tellAll(ctx context.Context, sink Sink) {
-	for wait.For(ctx, exchange.settings.Repeat) {
-		exchange.sendAll(exchange.watched(), sink.Own(), sink.Quarantined())
+func (exchange *Exchange) sendHeartbeats(ctx context.Context, sink Sink) {
+	for wait.For(ctx, exchange.settings.HeartbeatInterval) {
+		exchange.sendState(exchange.heartbeatTargets(), sink.Own(), sink.Quarantined())
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -22,34 +22,34 @@
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 )
 
-var errAway = errors.New("registry is unavailable")
+var errUnavailable = errors.New("registry is unavailable")
 
 // registry is an exchange.Registry in memory.
-type register struct {
-	mu      sync.Mutex
-	members map[string]exchange.Member
-	away    bool
+type registry struct {
+	mu          sync.Mutex
+	members     map[string]exchange.Member
+	unavailable bool
 	// registrations and listings count the calls of Register and List.
-	entered, listed int
+	registrations, listings int
 }
 
-var _ exchange.Register = (*register)(nil)
+var _ exchange.Registry = (*registry)(nil)
 
-func (registry *register) Enter(_ context.Context, member exchange.Member) error {
+func (registry *registry) Register(_ context.Context, member exchange.Member) error {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	if registry.away {
-		return errAway
+	if registry.unavailable {
+		return errUnavailable
 	}
 	registry.members[member.VM] = member
-	registry.entered++
+	registry.registrations++
 	return nil
 }
 
-func (registry *register) List(context.Context) ([]exchange.Member, error) {
+func (registry *registry) List(context.Context) ([]exchange.Member, error) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	registry.listed++
+	registry.listings++
 	var list []exchange.Member
 	for _, member := range registry.members {
 		list = append(list, member)
@@ -57,25 +57,25 @@
 	return list, nil
 }
 
-func (registry *register) count() int {
+func (registry *registry) registrationCount() int {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return registry.entered
+	return registry.registrations
 }
 
-func (registry *register) setAway(unavailable bool) {
+func (registry *registry) setUnavailable(unavailable bool) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	registry.away = unavailable
+	registry.unavailable = unavailable
 }
 
 // sink is an exchange.Sink that provides the reports of one VM, and records what the VM receives.
 type sink struct {
-	mu   sync.Mutex
-	own  []pool.Report
-	told map[string][]pool.Report
+	mu       sync.Mutex
+	own      []pool.Report
+	received map[string][]pool.Report
 	// storeUnavailable reports whether the store does not answer the VM.
-	blind bool
+	storeUnavailable bool
 	// entries holds the quarantined requests.
 	entries []quarantine.Entry
 }
@@ -88,10 +88,10 @@
 	return slices.Clone(sink.own)
 }
 
-func (sink *sink) Told(vm string, reports []pool.Report) {
+func (sink *sink) HandleReports(vm string, reports []pool.Report) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	sink.told[vm] = append(sink.told[vm], reports...)
+	sink.received[vm] = append(sink.received[vm], reports...)
 }
 
 func (*sink) HandleRequests(string, []dispatch.AssignmentRequest) {}
@@ -104,7 +104,7 @@
 	return slices.Clone(sink.entries)
 }
 
-func (sink *sink) ToldQuarantined(entries []quarantine.Entry) {
+func (sink *sink) HandleQuarantined(entries []quarantine.Entry) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
 	for _, entry := range entries {
@@ -118,29 +118,29 @@
 func (sink *sink) Blind() bool {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	return sink.blind
+	return sink.storeUnavailable
 }
 
-func (sink *sink) setBlind(storeUnavailable bool) {
+func (sink *sink) setStoreUnavailable(storeUnavailable bool) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	sink.blind = storeUnavailable
+	sink.storeUnavailable = storeUnavailable
 }
 
-func (sink *sink) toldBy(vm string) []pool.Report {
+func (sink *sink) reportsFrom(vm string) []pool.Report {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	return slices.Clone(sink.told[vm])
+	return slices.Clone(sink.received[vm])
 }
 
 // vms is a fleet of VMs on one in-memory network. The slices are indexed by VM number.
 type vms struct {
-	settings exchange.Settings
-	network  *memnet.Network
-	register *register
-	parts    []*exchange.Exchange
-	sinks    []*sink
-	stop     []context.CancelFunc
+	settings  exchange.Settings
+	network   *memnet.Network
+	registry  *registry
+	instances []*exchange.Exchange
+	sinks     []*sink
+	stop      []context.CancelFunc
 	// clock is the clock of VMs that addMember adds.
 	clock func() time.Time
 }
@@ -152,7 +152,7 @@
 
 func newVMs(t *testing.T, count int) *vms {
 	t.Helper()
-	vms := &vms{settings: exchange.DefaultSettings(), network: memnet.New(), register: &register{members: make(map[string]exchange.Member)}, clock: time.Now}
+	vms := &vms{settings: exchange.DefaultSettings(), network: memnet.New(), registry: &registry{members: make(map[string]exchange.Member)}, clock: time.Now}
 	for number := range count {
 		vms.add(t, number)
 	}
@@ -170,23 +170,23 @@
 func (vms *vms) join(t *testing.T, number int, dataCentre string, conn net.PacketConn) {
 	t.Helper()
 	self := exchange.Member{VM: fmt.Sprintf("vm-%d", number), Address: address(number), DataCentre: dataCentre}
-	instance := exchange.New(vms.settings, self, conn, nil, vms.register, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
-	sink := &sink{told: make(map[string][]pool.Report)}
+	instance := exchange.New(vms.settings, self, conn, nil, vms.registry, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
+	sink := &sink{received: make(map[string][]pool.Report)}
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { _ = instance.Run(ctx, sink) }()
-	vms.parts, vms.sinks, vms.stop = append(vms.parts, instance), append(vms.sinks, sink), append(vms.stop, stop)
+	vms.instances, vms.sinks, vms.stop = append(vms.instances, instance), append(vms.sinks, sink), append(vms.stop, stop)
 }
 
-func (vms *vms) end() {
+func (vms *vms) stopAll() {
 	for _, stop := range vms.stop {
 		stop()
 	}
 	synctest.Wait()
 }
 
-func (vms *vms) members() []int {
+func (vms *vms) liveCounts() []int {
 	var counts []int
-	for _, instance := range vms.parts {
+	for _, instance := range vms.instances {
 		count, _ := instance.Members()
 		counts = append(counts, count)
 	}
@@ -206,7 +206,7 @@
 		"a VM stops": {
 			change: func(_ *testing.T, vms *vms) {
 				vms.stop[2]()
-				vms.parts = vms.parts[:2]
+				vms.instances = vms.instances[:2]
 			},
 			want: []int{2, 2},
 		},
@@ -215,23 +215,23 @@
 			want:   []int{4, 4, 4, 4},
 		},
 		"a VM is partitioned": {
-			change: func(_ *testing.T, vms *vms) { vms.network.SetDark(address(0), true) },
+			change: func(_ *testing.T, vms *vms) { vms.network.SetUnreachable(address(0), true) },
 			want:   []int{1, 2, 2},
 		},
 		"a partitioned VM returns": {
 			change: func(_ *testing.T, vms *vms) {
-				vms.network.SetDark(address(0), true)
+				vms.network.SetUnreachable(address(0), true)
 				time.Sleep(10 * time.Second)
-				vms.network.SetDark(address(0), false)
+				vms.network.SetUnreachable(address(0), false)
 			},
 			want: []int{3, 3, 3},
 		},
 		"a VM joins while the registry is unavailable": {
 			change: func(t *testing.T, vms *vms) {
-				vms.register.setAway(true)
+				vms.registry.setUnavailable(true)
 				vms.add(t, 3)
 				time.Sleep(5 * time.Second)
-				vms.register.setAway(false)
+				vms.registry.setUnavailable(false)
 			},
 			want: []int{4, 4, 4, 4},
 		},
@@ -240,11 +240,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				vms := newVMs(t, 3)
-				defer vms.end()
+				defer vms.stopAll()
 				time.Sleep(time.Second)
 				test.change(t, vms)
 				time.Sleep(4 * time.Second)
-				assert.DeepEqual(t, vms.members(), test.want)
+				assert.DeepEqual(t, vms.liveCounts(), test.want)
 			})
 		})
 	}
@@ -258,11 +258,11 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 2)
-		defer vms.end()
+		defer vms.stopAll()
 		time.Sleep(time.Second)
-		vms.parts[0].Publish(report)
+		vms.instances[0].Publish(report)
 		time.Sleep(5 * time.Millisecond)
-		assert.DeepEqual(t, vms.sinks[1].toldBy("vm-0"), []pool.Report{report})
+		assert.DeepEqual(t, vms.sinks[1].reportsFrom("vm-0"), []pool.Report{report})
 		// Heartbeats repeat the own reports, in as many datagrams as needed.
 		var own []pool.Report
 		for id := range 100 {
@@ -272,7 +272,7 @@
 		vms.sinks[0].own = own
 		vms.sinks[0].mu.Unlock()
 		time.Sleep(600 * time.Millisecond)
-		assert.Assert(t, len(vms.sinks[1].toldBy("vm-0")) >= 101)
+		assert.Assert(t, len(vms.sinks[1].reportsFrom("vm-0")) >= 101)
 	})
 }
 
@@ -280,7 +280,7 @@
 func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 2)
-		defer vms.end()
+		defer vms.stopAll()
 		time.Sleep(time.Second)
 		conn, err := vms.network.ListenPacket(t.Context(), "10.0.0.99:1")
 		assert.NilError(t, err)
@@ -292,7 +292,7 @@
 			assert.NilError(t, err)
 		}
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, vms.members(), []int{2, 2})
+		assert.DeepEqual(t, vms.liveCounts(), []int{2, 2})
 	})
 }
 
--- a/internal/exchange/main_test.go
+++ b/internal/exchange/main_test.go
@@ -10,7 +10,7 @@
 // another seed.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1") // rapid declares this flag
-	flag.Int(flagWhole, 0, "the number of VMs of large fleets; zero selects the default sizes")
+	flag.Int(flagLargeFleet, 0, "the number of VMs of large fleets; zero selects the default sizes")
 	flag.Parse()
 	os.Exit(m.Run())
 }
--- a/internal/exchange/quarantined.go
+++ b/internal/exchange/quarantined.go
@@ -14,8 +14,8 @@
 // Limits on the entries in one datagram, which take about 18 bytes each. The newest entries are always included, since
 // other VMs may not have them yet, and a random sample of the older ones.
 const (
-	quarantinedLast = 16
-	quarantinedRest = 16
+	maxNewestEntries = 16
+	maxOlderEntries  = 16
 )
 
 // Announce implements quarantine.Publisher. It sends the entries to all known VMs at once. Heartbeats and their answers
@@ -23,18 +23,18 @@
 func (exchange *Exchange) Announce(entries []quarantine.Entry) {
 	update := exchange.update()
 	update.Quarantined = encodeQuarantined(entries, exchange.now())
-	exchange.sendTo(exchange.everyone(), update)
+	exchange.sendTo(exchange.allAddresses(), update)
 }
 
 // encodeQuarantined encodes the newest of entries and a random sample of the others. The newest entry must come first.
 func encodeQuarantined(entries []quarantine.Entry, now time.Time) []*wire.Quarantined {
-	newest := entries[:min(quarantinedLast, len(entries))]
+	newest := entries[:min(maxNewestEntries, len(entries))]
 	older := entries[len(newest):]
-	encoded := make([]*wire.Quarantined, 0, quarantinedLast+quarantinedRest)
+	encoded := make([]*wire.Quarantined, 0, maxNewestEntries+maxOlderEntries)
 	for _, entry := range newest {
 		encoded = append(encoded, encodeEntry(entry, now))
 	}
-	for _, index := range rand.Perm(len(older))[:min(quarantinedRest, len(older))] { //nolint:gosec // not security-sensitive
+	for _, index := range rand.Perm(len(older))[:min(maxOlderEntries, len(older))] { //nolint:gosec // not security-sensitive
 		encoded = append(encoded, encodeEntry(older[index], now))
 	}
 	return encoded
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -33,17 +33,17 @@
 			exchange.logger.Warn("ignoring a malformed datagram", "bytes", count, "error", err)
 			continue
 		}
-		exchange.received(update, sink)
+		exchange.handle(update, sink)
 	}
 }
 
 // handle processes one datagram. It ignores datagrams of this VM itself.
-func (exchange *Exchange) received(update *wire.LoadUpdate, sink Sink) {
+func (exchange *Exchange) handle(update *wire.LoadUpdate, sink Sink) {
 	if update.GetVm() == exchange.self.VM {
 		return
 	}
-	exchange.meet(update)
-	address, returned, found := exchange.hear(update)
+	exchange.addNamedPeers(update)
+	address, returned, found := exchange.recordContact(update)
 	if !found {
 		return
 	}
@@ -52,14 +52,14 @@
 	}
 	exchange.epochs.Hint(epoch.Number(update.GetEpoch()))
 	exchange.reply(update, address, returned, sink)
-	exchange.noteIntroduced(update)
-	exchange.greetNamed(update.GetPeers())
-	exchange.greetNamed(exchange.neighbours(update.GetIntroduced()))
+	exchange.joinIfIntroduced(update)
+	exchange.sayHello(update.GetPeers())
+	exchange.sayHello(exchange.inOwnDataCentre(update.GetIntroduced()))
 	if len(update.GetSendings()) > 0 {
-		sink.Told(update.GetVm(), decode(update.GetSendings()))
+		sink.HandleReports(update.GetVm(), decodeReports(update.GetSendings()))
 	}
 	if len(update.GetQuarantined()) > 0 {
-		sink.ToldQuarantined(decodeQuarantined(update.GetQuarantined(), exchange.now()))
+		sink.HandleQuarantined(decodeQuarantined(update.GetQuarantined(), exchange.now()))
 	}
 	if len(update.GetAsks()) > 0 {
 		sink.HandleRequests(update.GetVm(), decodeAsks(update.GetAsks()))
@@ -70,13 +70,13 @@
 }
 
 // addNamedPeers adds the sender and the VMs that a datagram names to the peers, where they are new or have a new address.
-func (exchange *Exchange) meet(update *wire.LoadUpdate) {
-	if update.GetHello() || !exchange.knows(update) {
-		exchange.know(memberOf(update))
+func (exchange *Exchange) addNamedPeers(update *wire.LoadUpdate) {
+	if update.GetHello() || !exchange.isKnown(update) {
+		exchange.addPeer(memberOf(update))
 	}
 	for _, peer := range slices.Concat(update.GetPeers(), update.GetIntroduced()) {
-		if !exchange.knows(peer) {
-			exchange.know(memberOf(peer))
+		if !exchange.isKnown(peer) {
+			exchange.addPeer(memberOf(peer))
 		}
 	}
 }
@@ -84,16 +84,16 @@
 // sayHello says hello at once to coordinators and reader candidates that another VM named and that are down here. If
 // they only took their turn in the round-robin over all VMs that are down, VMs that start together while many registered
 // VMs are gone would need seconds to agree on the coordinators.
-func (exchange *Exchange) greetNamed(named []*wire.Peer) {
+func (exchange *Exchange) sayHello(named []*wire.Peer) {
 	exchange.mu.Lock()
 	now := exchange.now()
 	var addresses []net.Addr
 	for _, info := range named {
 		peer := exchange.peers[info.GetVm()]
-		if peer == nil || exchange.live(peer) || now.Sub(peer.greeted) < exchange.settings.Repeat {
+		if peer == nil || exchange.live(peer) || now.Sub(peer.lastHello) < exchange.settings.HeartbeatInterval {
 			continue
 		}
-		peer.greeted = now
+		peer.lastHello = now
 		addresses = append(addresses, peer.address)
 	}
 	exchange.mu.Unlock()
@@ -101,14 +101,14 @@
 }
 
 // peerInfo is the identity of a VM in a datagram, as its sender or among the VMs that it names.
-type located interface {
+type peerInfo interface {
 	GetVm() string
 	GetAddress() string
 	GetDataCentre() string
 	GetCapacity() uint32
 }
 
-func memberOf(info located) Member {
+func memberOf(info peerInfo) Member {
 	return Member{
 		VM: info.GetVm(), Address: info.GetAddress(),
 		DataCentre: info.GetDataCentre(), Capacity: int(info.GetCapacity()),
@@ -117,7 +117,7 @@
 
 // isKnown reports whether a peer is recorded with this address and, if info has a data centre, with a data centre. Most
 // datagrams lack it; a VM whose first datagram lacked it would otherwise stay without a data centre forever.
-func (exchange *Exchange) knows(info located) bool {
+func (exchange *Exchange) isKnown(info peerInfo) bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	peer := exchange.peers[info.GetVm()]
@@ -127,7 +127,7 @@
 
 // recordContact records that a datagram arrived from its sender. It returns the sender's address, whether the sender was
 // down before, and whether it is a known peer.
-func (exchange *Exchange) hear(update *wire.LoadUpdate) (address net.Addr, returned, found bool) {
+func (exchange *Exchange) recordContact(update *wire.LoadUpdate) (address net.Addr, returned, found bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	peer := exchange.peers[update.GetVm()]
@@ -135,24 +135,24 @@
 		return nil, false, false
 	}
 	returned = !exchange.live(peer)
-	peer.heard = exchange.now()
-	peer.doubted = false
+	peer.lastSeen = exchange.now()
+	peer.unresponsive = false
 	if uptime := update.GetUpMs(); uptime > 0 {
-		peer.started = peer.heard.Add(-time.Duration(uptime) * time.Millisecond)
-		peer.blind = update.GetBlind()
+		peer.startedAt = peer.lastSeen.Add(-time.Duration(uptime) * time.Millisecond)
+		peer.storeUnavailable = update.GetBlind()
 	}
-	exchange.knownElsewhere = max(exchange.knownElsewhere, int(update.GetKnown()))
-	exchange.noteHeard(int(update.GetHeard()))
+	exchange.reportedKnown = max(exchange.reportedKnown, int(update.GetKnown()))
+	exchange.recordReportedLive(int(update.GetHeard()))
 	return peer.address, returned, true
 }
 
 // recordReportedLive records how many VMs are live by a peer's report. A smaller number replaces a larger one only when
 // the larger one has not been reported for departedTimeout.
-func (exchange *Exchange) noteHeard(count int) {
+func (exchange *Exchange) recordReportedLive(count int) {
 	now := exchange.now()
-	if count >= exchange.heardElsewhere || now.Sub(exchange.heardElsewhereAt) >= shareTime {
-		exchange.heardElsewhere = count
-		exchange.heardElsewhereAt = now
+	if count >= exchange.reportedLive || now.Sub(exchange.reportedLiveAt) >= departedTimeout {
+		exchange.reportedLive = count
+		exchange.reportedLiveAt = now
 	}
 }
 
@@ -160,12 +160,12 @@
 // since it may have restarted without them, even before PeerTimeout detected that it was down.
 func (exchange *Exchange) reply(update *wire.LoadUpdate, address net.Addr, returned bool, sink Sink) {
 	exchange.mu.Lock()
-	isCoordinator := (returned || update.GetHello()) && exchange.decides(update.GetVm())
+	isCoordinator := (returned || update.GetHello()) && exchange.isCoordinator(update.GetVm())
 	exchange.mu.Unlock()
 	if update.GetPing() || update.GetHello() {
 		exchange.pong(update, address, sink)
 	}
 	if isCoordinator {
-		exchange.sendAll([]net.Addr{address}, sink.Own(), sink.Quarantined())
+		exchange.sendState([]net.Addr{address}, sink.Own(), sink.Quarantined())
 	}
 }
--- a/internal/exchange/reregister_test.go
+++ b/internal/exchange/reregister_test.go
@@ -26,29 +26,29 @@
 		"76 VMs, none lost":        {vms: 76},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, test.vms, func(t *testing.T, vms *vms, _ []*countingConn) {
+			runInFleet(t, test.vms, func(t *testing.T, vms *vms, _ []*countingConn) {
 				time.Sleep(5 * time.Second) // all bootstrap VMs are registered
-				size := vms.register.size()
+				size := vms.registry.size()
 				lost := int(test.lost * float64(size))
-				vms.register.forget(lost)
-				registrationsBefore, listsBefore := vms.register.count(), vms.register.looks()
-				vms.register.setAway(test.outage > 0)
-				time.AfterFunc(test.outage, func() { vms.register.setAway(false) })
+				vms.registry.remove(lost)
+				registrationsBefore, listsBefore := vms.registry.registrationCount(), vms.registry.listCount()
+				vms.registry.setUnavailable(test.outage > 0)
+				time.AfterFunc(test.outage, func() { vms.registry.setUnavailable(false) })
 				var reregistering sync.WaitGroup
-				for _, instance := range vms.parts {
-					reregistering.Go(func() { instance.Reenter(t.Context()) })
+				for _, instance := range vms.instances {
+					reregistering.Go(func() { instance.Reregister(t.Context()) })
 				}
 				maximum := 0
 				for range 12 {
-					before := vms.register.looks()
+					before := vms.registry.listCount()
 					time.Sleep(time.Second)
-					maximum = max(maximum, vms.register.looks()-before)
+					maximum = max(maximum, vms.registry.listCount()-before)
 				}
 				reregistering.Wait()
-				assert.Equal(t, vms.register.size(), size)
-				assert.Equal(t, vms.register.count()-registrationsBefore, lost)
+				assert.Equal(t, vms.registry.size(), size)
+				assert.Equal(t, vms.registry.registrationCount()-registrationsBefore, lost)
 				if test.outage == 0 {
-					assert.Equal(t, vms.register.looks()-listsBefore, size)
+					assert.Equal(t, vms.registry.listCount()-listsBefore, size)
 				}
 				assert.Assert(t, maximum <= 5+size/5, "the registry was read %d times within a second", maximum)
 			})
@@ -60,16 +60,16 @@
 // whether it still lists them.
 func TestReregistrationIsSpread(t *testing.T) {
 	for range 10 {
-		inFleet(t, 6, func(t *testing.T, vms *vms, _ []*countingConn) {
+		runInFleet(t, 6, func(t *testing.T, vms *vms, _ []*countingConn) {
 			time.Sleep(5 * time.Second)
 			var reregistering sync.WaitGroup
-			for _, instance := range vms.parts {
-				reregistering.Go(func() { instance.Reenter(t.Context()) })
+			for _, instance := range vms.instances {
+				reregistering.Go(func() { instance.Reregister(t.Context()) })
 			}
 			for range 12 {
-				before := vms.register.looks()
+				before := vms.registry.listCount()
 				time.Sleep(time.Second)
-				assert.Assert(t, vms.register.looks()-before <= 2)
+				assert.Assert(t, vms.registry.listCount()-before <= 2)
 			}
 			reregistering.Wait()
 		})
@@ -77,7 +77,7 @@
 }
 
 // remove removes count VMs, as a restore from an older copy does.
-func (registry *register) forget(count int) {
+func (registry *registry) remove(count int) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	for vm := range registry.members {
@@ -89,15 +89,15 @@
 	}
 }
 
-func (registry *register) size() int {
+func (registry *registry) size() int {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return len(registry.members)
 }
 
 // listCount returns how often the registry was listed.
-func (registry *register) looks() int {
+func (registry *registry) listCount() int {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return registry.listed
+	return registry.listings
 }
--- a/internal/exchange/role.go
+++ b/internal/exchange/role.go
@@ -11,7 +11,7 @@
 var _ feed.Members = (*Exchange)(nil)
 
 // readerKey is the rendezvous key that ranks VMs as readers of the store.
-const readerOrder = "reader"
+const readerKey = "reader"
 
 // Role implements feed.Members. In each data centre with at least minimum known VMs, the live VM with the greatest link
 // capacity reads the store for the others; rendezvous hashing breaks ties. VMs for whose address avoid returns true, and
@@ -19,10 +19,10 @@
 func (exchange *Exchange) Role(minimum int, avoid func(address string) bool) feed.Role {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	if !exchange.met {
+	if !exchange.joined {
 		return feed.Role{Unsettled: true}
 	}
-	candidates := exchange.neighbourhood()
+	candidates := exchange.localPeers()
 	if 1+len(candidates) < minimum {
 		return feed.Role{}
 	}
@@ -30,12 +30,12 @@
 	unseen := false
 	var storeUnavailable []string
 	for _, peer := range candidates {
-		unseen = unseen || (peer.heard.IsZero() && peer.Capacity >= exchange.self.Capacity)
+		unseen = unseen || (peer.lastSeen.IsZero() && peer.Capacity >= exchange.self.Capacity)
 		switch {
 		case !exchange.live(peer):
-		case peer.blind && exchange.readsBefore(peer.VM, exchange.self.VM):
+		case peer.storeUnavailable && exchange.precedesAsReader(peer.VM, exchange.self.VM):
 			storeUnavailable = append(storeUnavailable, peer.VM)
-		case !peer.blind && !avoid(peer.Address) && exchange.readsBefore(peer.VM, reader):
+		case !peer.storeUnavailable && !avoid(peer.Address) && exchange.precedesAsReader(peer.VM, reader):
 			reader = peer.VM
 		}
 	}
@@ -61,17 +61,17 @@
 		}
 	}
 	slices.SortFunc(live, func(a, b *peer) int {
-		return cmp.Or(a.started.Compare(b.started), cmp.Compare(a.VM, b.VM))
+		return cmp.Or(a.startedAt.Compare(b.startedAt), cmp.Compare(a.VM, b.VM))
 	})
 	addresses := make([]string, 0, limit)
 	for _, peer := range live[:min(limit, len(live))] {
 		addresses = append(addresses, peer.Address)
 	}
-	return addresses, exchange.met && (len(live) > 0 || len(exchange.peers) == 0)
+	return addresses, exchange.joined && (len(live) > 0 || len(exchange.peers) == 0)
 }
 
 // precedesAsReader reports whether vm is preferred to other as reader of the store.
-func (exchange *Exchange) readsBefore(vm, other string) bool {
+func (exchange *Exchange) precedesAsReader(vm, other string) bool {
 	return exchange.compareReaders(vm, other) < 0
 }
 
@@ -79,16 +79,16 @@
 func (exchange *Exchange) compareReaders(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(exchange.capacity(b), exchange.capacity(a)),
-		rendezvous.Compare(readerOrder, a, b),
+		rendezvous.Compare(readerKey, a, b),
 	)
 }
 
 // localPeers returns the known peers of this data centre in order of preference as reader. Most of them send this VM no
 // datagrams, since VMs send reports and heartbeats to coordinators and reader candidates only.
-func (exchange *Exchange) neighbourhood() []*peer {
-	exchange.arrange()
+func (exchange *Exchange) localPeers() []*peer {
+	exchange.ensureRanking()
 	var candidates []*peer
-	for _, vm := range exchange.byReader[exchange.self.DataCentre] {
+	for _, vm := range exchange.readerRankings[exchange.self.DataCentre] {
 		if vm != exchange.self.VM {
 			candidates = append(candidates, exchange.peers[vm])
 		}
--- a/internal/exchange/seeds.go
+++ b/internal/exchange/seeds.go
@@ -13,13 +13,13 @@
 )
 
 // initialHelloBackoff is the backoff after the first hello to the seeds.
-const seedsPause = 50 * time.Millisecond
+const initialHelloBackoff = 50 * time.Millisecond
 
 // maxIntroduced is the maximum number of VMs introduced in one datagram. Each takes about 60 bytes.
 const maxIntroduced = 18
 
 // parseSeeds returns the addresses of the seeds, which the settings name. It leaves out this VM and invalid addresses.
-func addressesOf(seeds []string, self Member, logger *slog.Logger) []net.Addr {
+func parseSeeds(seeds []string, self Member, logger *slog.Logger) []net.Addr {
 	var addresses []net.Addr
 	for _, seed := range seeds {
 		parsed, err := netip.ParseAddrPort(seed)
@@ -35,76 +35,76 @@
 
 // contactSeeds says hello to the seeds until this VM has joined the fleet or the timeout has passed, and reports whether
 // it has joined. Discovery through seeds doesn't use the store, so all VMs of a fleet can start at once.
-func (exchange *Exchange) askSeeds(ctx context.Context) bool {
+func (exchange *Exchange) contactSeeds(ctx context.Context) bool {
 	if len(exchange.seeds) == 0 {
 		return false
 	}
-	timeout := exchange.settings.Seeds
-	if exchange.self.First {
-		timeout = exchange.settings.SeedsFirst
+	timeout := exchange.settings.SeedTimeout
+	if exchange.self.FirstStart {
+		timeout = exchange.settings.FirstSeedTimeout
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	go func() {
 		select {
-		case <-exchange.metNow:
+		case <-exchange.joinedSignal:
 			cancel()
 		case <-bounded.Done():
 		}
 	}()
-	backoff := wait.NewBackoff(seedsPause, exchange.settings.Repeat)
+	backoff := wait.NewBackoff(initialHelloBackoff, exchange.settings.HeartbeatInterval)
 	for bounded.Err() == nil {
-		exchange.send(slices.Concat(exchange.seeds, exchange.deciding()), nil, true)
+		exchange.send(slices.Concat(exchange.seeds, exchange.coordinatorAddresses()), nil, true)
 		backoff.Wait(bounded)
 	}
-	return exchange.isMet()
+	return exchange.isJoined()
 }
 
 // bootstrapRemaining returns how much of BootstrapTime is left, zero or less when it is over or the fleet doesn't start
 // for the first time. Until then a peer's answer names few VMs, and a VM that took these for the whole fleet would read
 // the store itself.
-func (exchange *Exchange) gatheredIn() time.Duration {
-	if !exchange.self.First {
+func (exchange *Exchange) bootstrapRemaining() time.Duration {
+	if !exchange.self.FirstStart {
 		return 0
 	}
-	return exchange.started.Add(exchange.settings.Gathering).Sub(exchange.now())
+	return exchange.startedAt.Add(exchange.settings.BootstrapTime).Sub(exchange.now())
 }
 
-func (exchange *Exchange) isMet() bool {
+func (exchange *Exchange) isJoined() bool {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	return exchange.met
+	return exchange.joined
 }
 
 // markJoined records that this VM has joined the fleet, so that it can find the coordinators.
-func (exchange *Exchange) noteMet() {
+func (exchange *Exchange) markJoined() {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	if !exchange.met {
-		exchange.met = true
-		close(exchange.metNow)
+	if !exchange.joined {
+		exchange.joined = true
+		close(exchange.joinedSignal)
 	}
 }
 
 // joinIfIntroduced marks this VM as joined if the datagram holds the introductions of a coordinator, which names itself
 // among the coordinators, and BootstrapTime is over.
-func (exchange *Exchange) noteIntroduced(update *wire.LoadUpdate) {
+func (exchange *Exchange) joinIfIntroduced(update *wire.LoadUpdate) {
 	isSender := func(peer *wire.Peer) bool { return peer.GetVm() == update.GetVm() }
-	if len(update.GetIntroduced()) > 0 && slices.ContainsFunc(update.GetPeers(), isSender) && exchange.gatheredIn() <= 0 {
-		exchange.noteMet()
+	if len(update.GetIntroduced()) > 0 && slices.ContainsFunc(update.GetPeers(), isSender) && exchange.bootstrapRemaining() <= 0 {
+		exchange.markJoined()
 	}
 }
 
 // introductions returns the VMs that a VM of the given data centre must know, so that all VMs find the same coordinators
 // when the current ones fail: the first live VMs of each data centre, and more of its own data centre, which may read the
 // store for it.
-func (exchange *Exchange) introduced(dataCentre string) []*wire.Peer {
+func (exchange *Exchange) introductions(dataCentre string) []*wire.Peer {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
-	exchange.arrange()
-	vms := exchange.firstLive(exchange.byReader[dataCentre], exchange.settings.Readers+exchange.settings.Greet)
-	for _, group := range exchange.groups {
-		for _, vm := range exchange.firstLive(group, exchange.settings.Introduce) {
+	exchange.ensureRanking()
+	vms := exchange.firstLive(exchange.readerRankings[dataCentre], exchange.settings.Readers+exchange.settings.HelloCount)
+	for _, group := range exchange.dataCentreRankings {
+		for _, vm := range exchange.firstLive(group, exchange.settings.IntroducedPerDataCentre) {
 			if !slices.Contains(vms, vm) {
 				vms = append(vms, vm)
 			}
@@ -128,7 +128,7 @@
 }
 
 // inOwnDataCentre returns those of peers that are in this VM's data centre, without this VM.
-func (exchange *Exchange) neighbours(peers []*wire.Peer) []*wire.Peer {
+func (exchange *Exchange) inOwnDataCentre(peers []*wire.Peer) []*wire.Peer {
 	excluded := func(peer *wire.Peer) bool {
 		return peer.GetDataCentre() != exchange.self.DataCentre || peer.GetVm() == exchange.self.VM
 	}
@@ -137,10 +137,10 @@
 
 // refreshIntroductions says hello to one coordinator at intervals, so that it answers with current introductions. The
 // intervals are short at first, since other VMs may be starting too.
-func (exchange *Exchange) refresh(ctx context.Context) {
-	backoff := wait.NewBackoff(exchange.settings.Repeat, 2*exchange.settings.Refresh)
+func (exchange *Exchange) refreshIntroductions(ctx context.Context) {
+	backoff := wait.NewBackoff(exchange.settings.HeartbeatInterval, 2*exchange.settings.RefreshInterval)
 	for backoff.Wait(ctx) {
-		coordinatorAddresses := exchange.deciding()
+		coordinatorAddresses := exchange.coordinatorAddresses()
 		exchange.send(coordinatorAddresses[:min(1, len(coordinatorAddresses))], nil, true)
 	}
 }
--- a/internal/exchange/send.go
+++ b/internal/exchange/send.go
@@ -45,7 +45,7 @@
 
 // sendState sends a heartbeat: all reports and a selection of the quarantine entries of this VM. The first datagram
 // requests an answer.
-func (exchange *Exchange) sendAll(addresses []net.Addr, reports []pool.Report, entries []quarantine.Entry) {
+func (exchange *Exchange) sendState(addresses []net.Addr, reports []pool.Report, entries []quarantine.Entry) {
 	for index, update := range exchange.updates(reports) {
 		update.Ping = index == 0
 		if update.GetPing() {
@@ -58,9 +58,9 @@
 // updates returns as many datagrams as reports need, and one without reports if there are none.
 func (exchange *Exchange) updates(reports []pool.Report) []*wire.LoadUpdate {
 	var updates []*wire.LoadUpdate
-	for chunk := range slices.Chunk(reports, maxSendings) {
+	for chunk := range slices.Chunk(reports, maxReportsPerDatagram) {
 		update := exchange.update()
-		update.Sendings = encode(chunk)
+		update.Sendings = encodeReports(chunk)
 		updates = append(updates, update)
 	}
 	if len(updates) == 0 {
@@ -87,12 +87,12 @@
 // coordinators within one HeartbeatInterval, and again after a loss. The answer to a hello includes introductions.
 func (exchange *Exchange) pong(received *wire.LoadUpdate, address net.Addr, sink Sink) {
 	update := exchange.update()
-	update.UpMs = uint32(exchange.now().Sub(exchange.started).Milliseconds()) //nolint:gosec // weeks at most
+	update.UpMs = uint32(exchange.now().Sub(exchange.startedAt).Milliseconds()) //nolint:gosec // weeks at most
 	update.Blind = sink.Blind()
 	update.Quarantined = encodeQuarantined(sink.Quarantined(), exchange.now())
-	update.Peers, update.Known, update.Heard = exchange.deciders()
+	update.Peers, update.Known, update.Heard = exchange.announcedCoordinators()
 	if received.GetHello() {
-		update.Introduced = exchange.introduced(received.GetDataCentre())
+		update.Introduced = exchange.introductions(received.GetDataCentre())
 	}
 	exchange.sendTo([]net.Addr{address}, update)
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -127,7 +127,7 @@
 				server := &http.Server{Handler: feed.Handler(map[string]*follower.Tail{"log": tail}, epoch.New(time.Now), slog.New(slog.DiscardHandler))}
 				go func() { _ = server.Serve(listener) }()
 				defer func() { _ = server.Close() }()
-				network.SetDark(readerAddress, test.dark)
+				network.SetUnreachable(readerAddress, test.dark)
 				transport := &http.Transport{
 					DialContext:       func(ctx context.Context, _, address string) (net.Conn, error) { return network.Dial(ctx, address) },
 					DisableKeepAlives: true,
--- a/internal/gateway/epochs.go
+++ b/internal/gateway/epochs.go
@@ -31,7 +31,7 @@
 	if afterRestore {
 		current, _ := gateway.epochs.Current()
 		gateway.logger.Warn("store was restored to an older state", "epoch", current)
-		rewriting.Go(func() { gateway.exchange.Reenter(epochCtx) })
+		rewriting.Go(func() { gateway.exchange.Reregister(epochCtx) })
 		rewriting.Go(func() { gateway.quarantine.Rewrite(epochCtx) })
 	}
 	for {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 type Sources struct {
 	Configuration follower.Source[catalog.Record]
 	Servers       follower.Source[directory.Entry]
-	Register      exchange.Register
+	Registry      exchange.Registry
 	Quarantine    quarantine.Store
 	// Epochs tracks the epoch of the platform's store, which all sources share.
 	Epochs *epoch.Watch
@@ -134,9 +134,9 @@
 	}
 	self := exchange.Member{
 		VM: site.VM, Address: site.PeerAddress, DataCentre: site.DataCentre, Capacity: site.Capacity,
-		First: site.First,
+		FirstStart: site.FirstStart,
 	}
-	exchange := exchange.New(settings.Exchange, self, packetConn, site.Seeds, sources.Register, sources.Epochs, logger, now)
+	exchange := exchange.New(settings.Exchange, self, packetConn, site.Seeds, sources.Registry, sources.Epochs, logger, now)
 	serverPool := pool.New(settings.Pool, site.VM, exchange, logger, now)
 	baseContext, cancelBase := context.WithCancelCause(context.Background())
 	gateway := &Gateway{
@@ -173,7 +173,7 @@
 	transport := network.NewTransport(hostNetwork)
 	maxDelay := func() time.Duration { return gateway.bounds.Load().Known() }
 	feedSettings := settings.Feed
-	if site.First {
+	if site.FirstStart {
 		feedSettings.Meet = feedSettings.MeetFirst
 	}
 	// Reads of the store and reads from other VMs are each bounded by a timeout of their own.
@@ -237,7 +237,7 @@
 			judges: gateway.exchange.Evaluates, now: gateway.now,
 		})
 	})
-	group.Go(func() error { gateway.quarantine.Run(groupCtx, gateway.site.First); return nil })
+	group.Go(func() error { gateway.quarantine.Run(groupCtx, gateway.site.FirstStart); return nil })
 	group.Go(func() error { gateway.coordinator.Run(groupCtx); return nil })
 	group.Go(func() error { gateway.configuration.Run(groupCtx); return nil })
 	group.Go(func() error { gateway.directory.Run(groupCtx); return nil })
@@ -278,7 +278,7 @@
 func (gateway *Gateway) wokeUp(slept time.Duration) {
 	gateway.logger.Warn("resumed after machine suspension", "slept", slept)
 	gateway.renew()
-	gateway.exchange.WokeUp(slept)
+	gateway.exchange.Resumed(slept)
 }
 
 // keepHouse periodically closes connections that were idle for too long and updates the retry
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -217,7 +217,7 @@
 	instance, err := gateway.New(gateway.DefaultSettings(), site, platform.Codec{}, platform.Orders{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
-		Register:      platform.NewMembers(store, logger),
+		Registry:      platform.NewMembers(store, logger),
 		Quarantine:    platform.NewQuarantine(store, logger),
 		Epochs:        epochs,
 	}, harness.network, clock, logger)
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -48,9 +48,9 @@
 	return append(reports, peerSink.OwnLimitReports(peerSink.judges())...)
 }
 
-// Told implements exchange.Sink. It applies the reports of another VM.
-func (peerSink told) Told(vm string, reports []pool.Report) {
-	peerSink.Pool.ApplyReports(vm, reports)
+// HandleReports implements exchange.Sink. It applies the reports of another VM.
+func (peerSink told) HandleReports(vm string, reports []pool.Report) {
+	peerSink.Pool.HandleReports(vm, reports)
 	for _, report := range reports {
 		if report.Fingerprint != fingerprint.None {
 			peerSink.noteRequest(report)
@@ -85,7 +85,7 @@
 	return peerSink.quarantine.PublishableEntries()
 }
 
-// ToldQuarantined implements exchange.Sink. It applies the quarantined requests of another VM.
-func (peerSink told) ToldQuarantined(entries []quarantine.Entry) {
+// HandleQuarantined implements exchange.Sink. It applies the quarantined requests of another VM.
+func (peerSink told) HandleQuarantined(entries []quarantine.Entry) {
 	peerSink.quarantine.ApplyEntries(entries)
 }
--- a/internal/gateway/retries_test.go
+++ b/internal/gateway/retries_test.go
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			withFleetRetrySlack(t, vms, 6, 1, func(fleet *fleet) {
 				for _, server := range fleet.servers[:4] {
-					fleet.network.SetDark(server.address, true)
+					fleet.network.SetUnreachable(server.address, true)
 				}
 				before := len(fleet.retryTimes("engines")) + len(fleet.retryTimes("plain"))
 				var clients sync.WaitGroup
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -39,7 +39,7 @@
 // retryLimits returns this VM's share of the retry budget of all VMs. The slack is divided by the
 // number of all VMs ever observed, since one whose heartbeats are missing may still be serving.
 func (gateway *Gateway) retryLimits() retrybudget.Limits {
-	return gateway.retryLimitsOf(1 / float64(gateway.exchange.Known()))
+	return gateway.retryLimitsOf(1 / float64(gateway.exchange.KnownCount()))
 }
 
 // retryLimitsOf returns the limits for a fraction of the retry budget of all VMs.
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -22,8 +22,8 @@
 	// Heartbeat is the interval at which backend servers write their entries, or zero if it is not
 	// configured.
 	Heartbeat time.Duration
-	// First is true if all VMs of the system start for the first time.
-	First bool
+	// FirstStart is true if all VMs of the system start for the first time.
+	FirstStart bool
 	// Store is the address of the platform's store.
 	Store string
 	// MemoryBytes is the memory that the process may use, or zero if it is not configured.
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -17,7 +17,7 @@
 var ErrRefused = errors.New("connection refused")
 
 // packetQueueLength is how many received datagrams a packet connection queues. Further ones are dropped.
-const packetQueue = 1024
+const packetQueueLength = 1024
 
 // Network is an in-memory network. It is safe for concurrent use.
 type Network struct {
@@ -26,7 +26,7 @@
 	listeners map[string]*listener
 	packets   map[string]*packetConn
 	// unreachable holds the addresses that drop packets.
-	dark map[string]bool
+	unreachable map[string]bool
 }
 
 var _ network.Network = (*Network)(nil)
@@ -34,18 +34,18 @@
 // New returns a network without listeners.
 func New() *Network {
 	return &Network{
-		listeners: make(map[string]*listener),
-		packets:   make(map[string]*packetConn),
-		dark:      make(map[string]bool),
+		listeners:   make(map[string]*listener),
+		packets:     make(map[string]*packetConn),
+		unreachable: make(map[string]bool),
 	}
 }
 
 // SetUnreachable makes an address unreachable, or reachable again. Connection attempts to an unreachable address time out,
 // and datagrams from and to it are dropped. Existing connections are not affected.
-func (memnet *Network) SetDark(address string, unreachable bool) {
+func (memnet *Network) SetUnreachable(address string, unreachable bool) {
 	memnet.mu.Lock()
 	defer memnet.mu.Unlock()
-	memnet.dark[address] = unreachable
+	memnet.unreachable[address] = unreachable
 }
 
 // Listen implements network.Network. It returns an error if the address has a listener.
@@ -64,7 +64,7 @@
 // the address is unreachable or the listener doesn't accept within the default dial timeout.
 func (memnet *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	memnet.mu.Lock()
-	target, unreachable := memnet.listeners[address], memnet.dark[address]
+	target, unreachable := memnet.listeners[address], memnet.unreachable[address]
 	memnet.mu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, network.DefaultSettings().DialTimeout)
 	defer cancel()
@@ -95,7 +95,7 @@
 	}
 	created := &packetConn{
 		network: memnet, address: addr(address),
-		packets: make(chan packet, packetQueue), closed: make(chan struct{}),
+		packets: make(chan packet, packetQueueLength), closed: make(chan struct{}),
 	}
 	memnet.packets[address] = created
 	return created, nil
@@ -173,7 +173,7 @@
 func (packetconn *packetConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	packetconn.network.mu.Lock()
 	target := packetconn.network.packets[to.String()]
-	unreachable := packetconn.network.dark[to.String()] || packetconn.network.dark[packetconn.address.String()]
+	unreachable := packetconn.network.unreachable[to.String()] || packetconn.network.unreachable[packetconn.address.String()]
 	packetconn.network.mu.Unlock()
 	if target == nil || unreachable {
 		return len(data), nil
--- a/internal/pool/assignment_test.go
+++ b/internal/pool/assignment_test.go
@@ -51,11 +51,11 @@
 	}{
 		"counted at once": {action: func(*fixture) {}, wantA: 100_000, wantB: 50_000},
 		"reported by its VM": {
-			action: func(fixture *fixture) { fixture.ApplyReports("vm-2", reports) }, wantA: 100_000, wantB: 50_000,
+			action: func(fixture *fixture) { fixture.HandleReports("vm-2", reports) }, wantA: 100_000, wantB: 50_000,
 		},
 		"ended by its VM": {action: func(fixture *fixture) {
-			fixture.ApplyReports("vm-2", reports)
-			fixture.ApplyReports("vm-2", ended)
+			fixture.HandleReports("vm-2", reports)
+			fixture.HandleReports("vm-2", ended)
 		}},
 		"withdrawn":                       {action: func(fixture *fixture) { fixture.Withdraw("vm-2", id) }},
 		"another request withdrawn":       {action: func(fixture *fixture) { fixture.Withdraw("vm-2", id+100) }, wantA: 100_000, wantB: 50_000},
@@ -65,7 +65,7 @@
 			action: func(fixture *fixture) {
 				for range 4 {
 					fixture.advance(500 * time.Millisecond)
-					fixture.ApplyReports("vm-2", reports)
+					fixture.HandleReports("vm-2", reports)
 				}
 			}, wantA: 100_000, wantB: 50_000,
 		},
@@ -123,7 +123,7 @@
 			fixture := newFixture()
 			fixture.Replace([]follower.Change[directory.Entry]{listedEntry("a"), listedEntry("b")})
 			for _, report := range test.reports {
-				fixture.ApplyReports("vm-2", []pool.Report{report})
+				fixture.HandleReports("vm-2", []pool.Report{report})
 			}
 			found := false
 			for _, server := range fixture.Eligible(engines(), nil) {
--- a/internal/pool/backoff_test.go
+++ b/internal/pool/backoff_test.go
@@ -16,7 +16,7 @@
 
 func reportBackoff(id string, duration time.Duration) func(fixture *fixture) {
 	return func(fixture *fixture) {
-		fixture.ApplyReports("vm-2", []pool.Report{{Server: id, Phase: pool.PhaseEnded, Health: pool.HealthBackoff, Backoff: duration}})
+		fixture.HandleReports("vm-2", []pool.Report{{Server: id, Phase: pool.PhaseEnded, Health: pool.HealthBackoff, Backoff: duration}})
 	}
 }
 
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -54,7 +54,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		servers.ApplyReports("vm-2", reports) // keeps them from expiring
+		servers.HandleReports("vm-2", reports) // keeps them from expiring
 		b.StartTimer()
 		servers.Eligible(service, nil)
 	}
--- a/internal/pool/draining_test.go
+++ b/internal/pool/draining_test.go
@@ -30,14 +30,14 @@
 			fixture.Regained()
 		}, want: []string{"s2"}},
 		"success reported by another VM": {action: func(fixture *fixture) {
-			fixture.ApplyReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthSucceeded}})
+			fixture.HandleReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthSucceeded}})
 		}, want: []string{"s2"}},
 		"restarted": {action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{later}) }, want: []string{"s1#later", "s2"}},
 	} {
 		for source, markDraining := range map[string]func(fixture *fixture){
 			"by this VM": func(fixture *fixture) { fixture.MarkDraining("s1") },
 			"by another VM": func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthDraining}})
+				fixture.HandleReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthDraining}})
 			},
 		} {
 			t.Run(name+", reported "+source, func(t *testing.T) {
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -45,12 +45,12 @@
 				Server: placement.Server{ID: "s2"}, Helpers: []placement.Server{{ID: "s1"}},
 			}, placement.Request{})
 		}},
-		"request of another VM":       {action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{attemptReport(1, 0)}) }},
-		"old request":                 {action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{attemptReport(1, 3*time.Second)}) }, eligible: true},
+		"request of another VM":       {action: func(fixture *fixture) { fixture.HandleReports("vm-2", []pool.Report{attemptReport(1, 0)}) }},
+		"old request":                 {action: func(fixture *fixture) { fixture.HandleReports("vm-2", []pool.Report{attemptReport(1, 3*time.Second)}) }, eligible: true},
 		"request assigned by this VM": {action: assign},
 		"request assigned by this VM and reported": {action: func(fixture *fixture) {
 			assign(fixture)
-			fixture.ApplyReports("vm-2", []pool.Report{attemptReport(101, 0)})
+			fixture.HandleReports("vm-2", []pool.Report{attemptReport(101, 0)})
 		}},
 		"assigned request withdrawn": {action: func(fixture *fixture) {
 			assign(fixture)
@@ -154,14 +154,14 @@
 			published: []pool.Report{advertised}, own: []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"reported by another VM": {
-			action: func(fixture *fixture) { fixture.ApplyReports("vm-2", []pool.Report{advertised}) },
+			action: func(fixture *fixture) { fixture.HandleReports("vm-2", []pool.Report{advertised}) },
 			own:    []pool.Report{rateLimitReport(time.Second)}, all: []pool.Report{rateLimitReport(time.Second)},
 		},
 		"report repeated shortly after": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", []pool.Report{advertised})
+				fixture.HandleReports("vm-2", []pool.Report{advertised})
 				fixture.advance(50 * time.Millisecond)
-				fixture.ApplyReports("vm-2", []pool.Report{advertised})
+				fixture.HandleReports("vm-2", []pool.Report{advertised})
 			},
 			own: []pool.Report{rateLimitReport(1050 * time.Millisecond)}, all: []pool.Report{rateLimitReport(1050 * time.Millisecond)},
 		},
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -22,7 +22,7 @@
 	activeRequest := fixture.Start(plan, placement.Request{Memory: 50_000})
 	fixture.RecordFreeMemory(engines(), "s1", 50_000, 20_000)
 	activeRequest.Finish()
-	other.ApplyReports("vm-1", fixture.publisher.reports)
+	other.HandleReports("vm-1", fixture.publisher.reports)
 	assert.Equal(t, fixture.server(t, "s1").MemoryFree, 20_000)
 	assert.Equal(t, other.server(t, "s1").MemoryFree, 20_000)
 	assert.Equal(t, fixture.server(t, "s2").MemoryFree, memoryTokens)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -238,47 +238,47 @@
 		wantBacklog time.Duration
 	}{
 		"prefill": {
-			action:      func(fixture *fixture) { fixture.ApplyReports("vm-2", with(pool.PhasePrefill)) },
+			action:      func(fixture *fixture) { fixture.HandleReports("vm-2", with(pool.PhasePrefill)) },
 			wantRunning: 1, wantBacklog: time.Second,
 		},
 		"repeated report": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
-				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
+				fixture.HandleReports("vm-2", with(pool.PhasePrefill))
+				fixture.HandleReports("vm-2", with(pool.PhasePrefill))
 			},
 			wantRunning: 1, wantBacklog: time.Second,
 		},
 		"same ID of two VMs": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
-				fixture.ApplyReports("vm-3", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-2", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-3", with(pool.PhaseDecode))
 			},
 			wantRunning: 2,
 		},
 		"delayed report of an earlier phase": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
-				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
+				fixture.HandleReports("vm-2", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-2", with(pool.PhasePrefill))
 			},
 			wantRunning: 1,
 		},
 		"ended": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhasePrefill))
-				fixture.ApplyReports("vm-2", with(pool.PhaseEnded))
+				fixture.HandleReports("vm-2", with(pool.PhasePrefill))
+				fixture.HandleReports("vm-2", with(pool.PhaseEnded))
 			},
 		},
 		"expired after a lost end report": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(2 * time.Second)
 			},
 		},
 		"kept by repeated reports": {
 			action: func(fixture *fixture) {
-				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(time.Second)
-				fixture.ApplyReports("vm-2", with(pool.PhaseDecode))
+				fixture.HandleReports("vm-2", with(pool.PhaseDecode))
 				fixture.advance(time.Second)
 			},
 			wantRunning: 1,
@@ -386,9 +386,9 @@
 	fixture.Replace(listedServers(3))
 	for range 30 {
 		report := pool.Report{ID: 7, Server: "s1", Phase: pool.PhaseDecode}
-		fixture.ApplyReports("vm-2", []pool.Report{report})
+		fixture.HandleReports("vm-2", []pool.Report{report})
 		report.Phase, report.Pace = pool.PhaseEnded, 5
-		fixture.ApplyReports("vm-2", []pool.Report{report})
+		fixture.HandleReports("vm-2", []pool.Report{report})
 	}
 	assert.Assert(t, fixture.server(t, "s1").Suspect)
 }
--- a/internal/pool/reports.go
+++ b/internal/pool/reports.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ApplyReports applies the reports of another VM.
-func (pool *Pool) ApplyReports(vm string, reports []Report) {
+// HandleReports applies the reports of another VM.
+func (pool *Pool) HandleReports(vm string, reports []Report) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now := pool.now()
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -35,7 +35,7 @@
 			fixture.Start(firstPlan(fixture), placement.Request{Engine: engines().Engine, Memory: 1000})
 		},
 		"requests of other VMs": func(fixture *fixture) {
-			fixture.ApplyReports("vm-2", []pool.Report{{ID: 1, Server: startID(1), Phase: pool.PhasePrefill, Memory: 1000, PrefillTime: time.Second}})
+			fixture.HandleReports("vm-2", []pool.Report{{ID: 1, Server: startID(1), Phase: pool.PhasePrefill, Memory: 1000, PrefillTime: time.Second}})
 		},
 		"failures": func(fixture *fixture) {
 			for range 9 {
@@ -77,7 +77,7 @@
 		"draining entry": func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{drainingFirst}) },
 		"whole list":     func(fixture *fixture) { fixture.Replace([]follower.Change[directory.Entry]{startOf(1)}) },
 		"reports": func(fixture *fixture) {
-			fixture.ApplyReports("vm-2", []pool.Report{
+			fixture.HandleReports("vm-2", []pool.Report{
 				{ID: 1, Server: startID(1), Phase: pool.PhasePrefill, Memory: 1000, PrefillTime: time.Second},
 				{Server: startID(1), Phase: pool.PhaseEnded, Health: pool.HealthClosed},
 			})
@@ -112,7 +112,7 @@
 	fixture := newFixture()
 	fixture.Apply(listedServers(1))
 	for _, age := range []time.Duration{0, 400 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond, 1900 * time.Millisecond} {
-		fixture.ApplyReports("vm-2", []pool.Report{{
+		fixture.HandleReports("vm-2", []pool.Report{{
 			Server: "s1", Phase: pool.PhasePrefill, Health: pool.HealthConnectionLost, Fingerprint: 7, Age: age,
 		}})
 	}
--- a/internal/pool/server_status_test.go
+++ b/internal/pool/server_status_test.go
@@ -73,5 +73,5 @@
 }
 
 func reportDraining(fixture *fixture) {
-	fixture.ApplyReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthDraining}})
+	fixture.HandleReports("vm-2", []pool.Report{{Server: "s1", Phase: pool.PhaseEnded, Health: pool.HealthDraining}})
 }
--- a/internal/quarantine/observation.go
+++ b/internal/quarantine/observation.go
@@ -24,7 +24,7 @@
 	tracker.addLoss(loss)
 }
 
-// RecentLosses returns the losses that this VM observed within Settings.Repeat, to be reported
+// RecentLosses returns the losses that this VM observed within Settings.HeartbeatInterval, to be reported
 // repeatedly.
 func (tracker *Tracker) RecentLosses() []Loss {
 	tracker.mu.Lock()
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -18,7 +18,7 @@
 	found := false
 	for _, other := range nodes {
 		found = found || other == node
-		if other != node && before(key, other, nodeWeight, node) {
+		if other != node && precedes(key, other, nodeWeight, node) {
 			rank++
 		}
 	}
@@ -40,7 +40,7 @@
 }
 
 // precedes reports whether other ranks before node, whose weight is nodeWeight.
-func before(key, other string, nodeWeight uint64, node string) bool {
+func precedes(key, other string, nodeWeight uint64, node string) bool {
 	otherWeight := weight(key, other)
 	return otherWeight > nodeWeight || (otherWeight == nodeWeight && other < node)
 }
