--- a/internal/cmd/serverscmd.go
+++ b/internal/cmd/serverscmd.go
@@ -44,11 +44,11 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%s\t%s\t%s\t%s\n", server.ID, server.Service, server.Listing, server.Running, server.Suspect,
 			leavingText(server), restsText(server.Backoffs), limitText(server.Limit), cmp.Or(ago("%.1f s more", server.ColdSeconds), nothing))
 	}
-	if len(status.Kept) == 0 {
+	if len(status.Quarantined) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nREQUEST KEPT FROM SERVERS\tFOR\tFOUND")
-	for _, kept := range status.Kept {
+	for _, kept := range status.Quarantined {
 		fmt.Fprintf(w, "%s\t%.0f s\t%d times\n", kept.Fingerprint, kept.Seconds, kept.Times)
 	}
 }
--- a/internal/cmd/serverscmd_test.go
+++ b/internal/cmd/serverscmd_test.go
@@ -24,7 +24,7 @@
 			{ID: "s3", Service: "plain", Listing: pool.ListingListed, Backoffs: []pool.BackoffStatus{{VM: "vm-1", Seconds: 2.5}}},
 			{ID: "s4", Service: "plain", Listing: pool.ListingEvacuated, ColdSeconds: 1.25},
 		},
-		Kept: []gateway.KeptStatus{{Fingerprint: "17", Seconds: 540, Times: 1}},
+		Quarantined: []gateway.QuarantinedStatus{{Fingerprint: "17", Seconds: 540, Times: 1}},
 	}
 	vm := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != "/status" {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,11 +18,11 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// errSilent is the cancellation cause of an attempt whose server sends nothing for too long.
-var errSilent = errors.New("server sent nothing within the timeout")
+// errServerTimeout is the cancellation cause of an attempt whose server sends nothing for too long.
+var errServerTimeout = errors.New("server sent nothing within the timeout")
 
-// plainAnswer is a response of a server that was read whole.
-type plainAnswer struct {
+// bufferedResponse is a response of a server that was read whole.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -30,25 +30,25 @@
 
 // attempt sends the request to the servers of a plan. It always releases use, which holds the
 // capacity claimed for the plan.
-func (forwarder *run) attempt(ctx context.Context, plan placement.Plan, use *pool.ActiveRequest) result {
+func (forwarder *forwarder) attempt(ctx context.Context, plan placement.Plan, use *pool.ActiveRequest) result {
 	gateway := forwarder.gateway
 	defer use.Finish()
-	reserved, err := forwarder.reserve(ctx, plan)
+	reserved, err := forwarder.reserveMemory(ctx, plan)
 	if err != nil {
 		return result{kind: resultNoMemory, err: err}
 	}
 	if reserved != nil {
 		defer reserved.Release()
-		if err := forwarder.stillTaken(plan); err != nil {
-			return result{kind: resultMoved, err: err}
+		if err := forwarder.checkServersAvailable(plan); err != nil {
+			return result{kind: resultServerUnavailable, err: err}
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	responseTimeout := forwarder.patience(plan)
+	responseTimeout := forwarder.responseTimeout(plan)
 	var watchdog *time.Timer
 	if responseTimeout > 0 {
-		watchdog = time.AfterFunc(responseTimeout, func() { cancel(errSilent) })
+		watchdog = time.AfterFunc(responseTimeout, func() { cancel(errServerTimeout) })
 		defer watchdog.Stop()
 	}
 	dispatch := forwarder.dispatch(plan, reserved)
@@ -64,20 +64,20 @@
 		return gateway.codec.Answer(http.StatusOK, header).ID == forwarder.head.ID
 	})
 	if err != nil {
-		return sendFailed(ctx, err)
+		return sendErrorResult(ctx, err)
 	}
 	answer := gateway.codec.Answer(response.Status, response.Header)
 	defer func() { response.Close(answer.Idle) }()
-	activeAttempt := &attempted{plan: plan, use: use, response: response, watchdog: watchdog, patience: responseTimeout}
+	activeAttempt := &activeAttempt{plan: plan, use: use, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
 	if answer.Stream && answer.Whole && !answer.Encoded && response.Status/100 == 2 {
 		return forwarder.relay(ctx, activeAttempt)
 	}
-	return forwarder.receive(ctx, activeAttempt, answer)
+	return forwarder.receiveBuffered(ctx, activeAttempt, answer)
 }
 
-// reserve reserves memory at the servers of a plan. It returns nil without an error if the
+// reserveMemory reserves memory at the servers of a plan. It returns nil without an error if the
 // plan needs none.
-func (forwarder *run) reserve(ctx context.Context, plan placement.Plan) (*reservation.Reservation, error) {
+func (forwarder *forwarder) reserveMemory(ctx context.Context, plan placement.Plan) (*reservation.Reservation, error) {
 	if len(plan.MemoryShares) == 0 {
 		return nil, nil //nolint:nilnil // nil means that the plan needs no reservation
 	}
@@ -89,26 +89,26 @@
 		}
 		requests = append(requests, reservation.Claim{Instance: server.ID, Address: server.Address, Tokens: plan.MemoryShares[i]})
 	}
-	ticket := fmt.Sprintf("%s-%016x-%d", forwarder.gateway.site.VM, forwarder.seed, forwarder.looks)
+	ticket := fmt.Sprintf("%s-%016x-%d", forwarder.gateway.site.VM, forwarder.seed, forwarder.planAttempts)
 	reserved, err := forwarder.gateway.reservations.Reserve(ctx, ticket, requests)
-	forwarder.noteNotFree(err)
+	forwarder.recordReservationFailures(err)
 	return reserved, errors.Wrap(err, "reserve engine memory")
 }
 
-// stillTaken returns an error if a server of the plan no longer accepts requests from
+// checkServersAvailable returns an error if a server of the plan no longer accepts requests from
 // this VM. That may have changed while memory was being reserved, which can take as long as a whole
 // reservation call.
-func (forwarder *run) stillTaken(plan placement.Plan) error {
-	if _, missing := forwarder.gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, plan.IDs()); len(missing) > 0 {
+func (forwarder *forwarder) checkServersAvailable(plan placement.Plan) error {
+	if _, missing := forwarder.gateway.pool.Find(forwarder.service.Name, forwarder.allowedDataCentres, plan.IDs()); len(missing) > 0 {
 		return errors.Newf("servers %v no longer accept requests", missing)
 	}
 	return nil
 }
 
-// noteNotFree reports to the pool which engines have less free memory than estimated.
+// recordReservationFailures reports to the pool which engines have less free memory than estimated.
 // A server that failed in any other way is not tried again for this request; otherwise every
 // evaluation would produce the same plan until the request is refused.
-func (forwarder *run) noteNotFree(err error) {
+func (forwarder *forwarder) recordReservationFailures(err error) {
 	var failed *reservation.ReserveError
 	if !errors.As(err, &failed) {
 		return
@@ -118,56 +118,56 @@
 			forwarder.gateway.pool.RecordFreeMemory(forwarder.service, failure.Instance, failure.Tokens, failure.Reply.Free)
 			continue
 		}
-		forwarder.tried = append(forwarder.tried, failure.Instance)
+		forwarder.triedServers = append(forwarder.triedServers, failure.Instance)
 	}
 }
 
-// sendFailed returns the result of a request that could not be sent or got no response:
+// sendErrorResult returns the result of a request that could not be sent or got no response:
 // whether it may have been executed depends on how far the sending came.
-func sendFailed(ctx context.Context, err error) result {
+func sendErrorResult(ctx context.Context, err error) result {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
 		return result{kind: resultNotRun, notSent: true, err: err}
 	}
-	return result{kind: resultUncertain, lost: ctx.Err() == nil, err: err}
+	return result{kind: resultUncertain, connectionLost: ctx.Err() == nil, err: err}
 }
 
-// patience returns how long the server may take to respond. Zero means until the deadline,
+// responseTimeout returns how long the server may take to respond. Zero means until the deadline,
 // which applies when no further attempt is possible.
-func (forwarder *run) patience(plan placement.Plan) time.Duration {
+func (forwarder *forwarder) responseTimeout(plan placement.Plan) time.Duration {
 	settings := forwarder.gateway.settings.Request
-	if !forwarder.route.Repeatable() || forwarder.runs+1 >= forwarder.route.MaxAttempts {
+	if !forwarder.route.Repeatable() || forwarder.executions+1 >= forwarder.route.MaxAttempts {
 		return 0
 	}
 	expected := max(plan.PredictedTTFT, forwarder.route.Objective)
-	return settings.Silence + time.Duration(settings.SilencePart*float64(expected))
+	return settings.FirstEventMargin + time.Duration(settings.FirstEventFactor*float64(expected))
 }
 
-// receive reads a plain response whole. It forwards the response unless it is a failure
+// receiveBuffered reads a plain response whole. It forwards the response unless it is a failure
 // after which another server may be tried.
-func (forwarder *run) receive(ctx context.Context, activeAttempt *attempted, answer call.Answer) result {
+func (forwarder *forwarder) receiveBuffered(ctx context.Context, activeAttempt *activeAttempt, answer call.Answer) result {
 	response := activeAttempt.response
-	body, release, err := forwarder.gateway.answers.read(ctx, activeAttempt, forwarder.gateway.settings.Request.MaxAnswerBytes)
+	body, release, err := forwarder.gateway.responseMemory.read(ctx, activeAttempt, forwarder.gateway.settings.Request.MaxResponseBytes)
 	defer release()
 	switch {
 	case err != nil:
 		return result{
-			kind: resultUncertain, status: response.Status, lost: ctx.Err() == nil, err: errors.Wrap(err, "read the response body"),
+			kind: resultUncertain, status: response.Status, connectionLost: ctx.Err() == nil, err: errors.Wrap(err, "read the response body"),
 		}
-	case int64(len(body)) > forwarder.gateway.settings.Request.MaxAnswerBytes:
+	case int64(len(body)) > forwarder.gateway.settings.Request.MaxResponseBytes:
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response body is too long")}
 	case answer.NotRun:
 		return result{
-			kind: resultNotRun, status: response.Status, closed: answer.Misdirected && answer.AtServer == "",
-			atFault: answer.AtServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
+			kind: resultNotRun, status: response.Status, serverClosed: answer.Misdirected && answer.AtServer == "",
+			failedServer: answer.AtServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
 		}
 	}
-	if promisesNotRun(response.Status) {
+	if impliesNotRun(response.Status) {
 		return result{
 			kind: resultUncertain, status: response.Status, err: errors.Newf("status %d without the header that states that the request was not executed", response.Status),
 		}
 	}
-	buffered := &plainAnswer{status: response.Status, header: response.Header, body: body}
+	buffered := &bufferedResponse{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError {
 		if !answer.Whole {
 			buffered = nil
@@ -180,21 +180,21 @@
 	if response.Status/100 == 2 && (!answer.Whole || answer.Encoded) {
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response does not carry the mark that proves it came from the server")}
 	}
-	forwarder.writePlain(buffered)
+	forwarder.writeBuffered(buffered)
 	return result{kind: resultAnswered, status: response.Status}
 }
 
-// writePlain writes a whole response to the caller.
-func (forwarder *run) writePlain(answer *plainAnswer) {
+// writeBuffered writes a whole response to the caller.
+func (forwarder *forwarder) writeBuffered(answer *bufferedResponse) {
 	forwarder.copyHeader(answer.header)
 	forwarder.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	forwarder.boundWrite()
+	forwarder.setWriteDeadline()
 	forwarder.writer.WriteHeader(answer.status)
 	_, _ = io.Copy(forwarder.writer, bytes.NewReader(answer.body)) // the caller may have disconnected
 }
 
 // copyHeader copies the header of a server's response into the response to the caller.
-func (forwarder *run) copyHeader(header http.Header) {
+func (forwarder *forwarder) copyHeader(header http.Header) {
 	target := forwarder.writer.Header()
 	for name, values := range forwarder.gateway.codec.ClientHeader(header) {
 		target[name] = values
@@ -204,37 +204,37 @@
 	}
 }
 
-// boundWrite sets the deadline for the caller to read what is written next.
-func (forwarder *run) boundWrite() {
-	deadline := forwarder.gateway.now().Add(forwarder.gateway.settings.Request.WriteTime)
+// setWriteDeadline sets the deadline for the caller to read what is written next.
+func (forwarder *forwarder) setWriteDeadline() {
+	deadline := forwarder.gateway.now().Add(forwarder.gateway.settings.Request.WriteTimeout)
 	_ = http.NewResponseController(forwarder.writer).SetWriteDeadline(forwarder.gateway.clock.ForTimers(deadline)) // on a closed connection the write fails
 }
 
-// attempted is an attempt whose server has started to respond.
-type attempted struct {
+// activeAttempt is an attempt whose server has started to respond.
+type activeAttempt struct {
 	plan     placement.Plan
 	use      *pool.ActiveRequest
 	response *upstream.Response
 	// watchdog cancels the attempt when the server sends nothing for too long. It is nil if the
 	// attempt has no such limit.
 	watchdog *time.Timer
-	// patience is how long the server may take to respond.
-	patience time.Duration
-	// stalled is true once the caller took long to read an event. Events that the server sent
+	// responseTimeout is how long the server may take to respond.
+	responseTimeout time.Duration
+	// callerStalled is true once the caller took long to read an event. Events that the server sent
 	// before that are still read afterwards.
-	stalled bool
+	callerStalled bool
 }
 
-// expect makes the watchdog cancel the attempt if the server sends nothing for the given
+// restartWatchdog makes the watchdog cancel the attempt if the server sends nothing for the given
 // time from now on.
-func (activeAttempt *attempted) expect(silence time.Duration) {
+func (activeAttempt *activeAttempt) restartWatchdog(silence time.Duration) {
 	if activeAttempt.watchdog != nil {
 		activeAttempt.watchdog.Reset(silence)
 	}
 }
 
-// rest stops the watchdog, so that the server may send nothing for any time.
-func (activeAttempt *attempted) rest() {
+// stopWatchdog stops the watchdog, so that the server may send nothing for any time.
+func (activeAttempt *activeAttempt) stopWatchdog() {
 	if activeAttempt.watchdog != nil {
 		activeAttempt.watchdog.Stop()
 	}
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -10,58 +10,58 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// placeElsewhere requests a placement from the coordinator. While no coordinator responds it
+// placeByCoordinator requests a placement from the coordinator. While no coordinator responds it
 // places the request itself, with only the requests of this VM counted as load.
-func (forwarder *run) placeElsewhere(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
+func (forwarder *forwarder) placeByCoordinator(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
-	if until := forwarder.heldUntil(); until.Before(forwarder.deadline) { // otherwise ctx ends first, with the cause of that
+	if until := forwarder.queueDeadline(); until.Before(forwarder.deadline) { // otherwise ctx ends first, with the cause of that
 		queueCtx, cancel := context.WithTimeout(ctx, until.Sub(gateway.now()))
 		defer cancel()
 		ctx = queueCtx
 	}
-	for !forwarder.hopeless() {
+	for !forwarder.cannotBePlaced() {
 		changed := gateway.pool.Changed()
-		plan, use, placed := forwarder.ask(ctx)
-		forwarder.granted = placed
-		if !placed && !forwarder.refused && ctx.Err() == nil {
-			plan, use, placed = forwarder.look()
+		plan, use, placed := forwarder.requestPlacement(ctx)
+		forwarder.retryGranted = placed
+		if !placed && !forwarder.placementRefused && ctx.Err() == nil {
+			plan, use, placed = forwarder.placeLocally()
 		}
 		if placed {
 			return plan, use, true
 		}
-		if forwarder.refused || !forwarder.waitForRoom(ctx, changed) {
+		if forwarder.placementRefused || !forwarder.waitForCapacity(ctx, changed) {
 			break
 		}
 	}
 	return placement.Plan{}, nil, false
 }
 
-// ask requests placements from the coordinator until it returns one whose servers are
+// requestPlacement requests placements from the coordinator until it returns one whose servers are
 // all in this VM's pool.
-func (forwarder *run) ask(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
+func (forwarder *forwarder) requestPlacement(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
 	for ctx.Err() == nil {
 		id := gateway.pool.ReserveID()
-		alreadyCounted := forwarder.asked
-		forwarder.asked = true
-		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest { return forwarder.newAsk(id, alreadyCounted) })
-		forwarder.refused = placed && answer.Decision == dispatch.DecisionRefused
+		alreadyCounted := forwarder.placementRequested
+		forwarder.placementRequested = true
+		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest { return forwarder.coordinatorRequest(id, alreadyCounted) })
+		forwarder.placementRefused = placed && answer.Decision == dispatch.DecisionRefused
 		switch {
-		case forwarder.refused && forwarder.hopeless():
-		case forwarder.refused && answer.RetryAfter > 0:
-			forwarder.givenUp = givenUp{reason: ReasonLimited, until: gateway.now().Add(answer.RetryAfter)}
-		case forwarder.refused && forwarder.sends > 0:
-			forwarder.givenUp = givenUp{reason: ReasonRefused}
+		case forwarder.placementRefused && forwarder.cannotBePlaced():
+		case forwarder.placementRefused && answer.RetryAfter > 0:
+			forwarder.rejection = rejection{reason: ReasonServersRateLimited, until: gateway.now().Add(answer.RetryAfter)}
+		case forwarder.placementRefused && forwarder.sends > 0:
+			forwarder.rejection = rejection{reason: ReasonServersRefused}
 		}
-		if !placed || forwarder.refused {
+		if !placed || forwarder.placementRefused {
 			return placement.Plan{}, nil, false
 		}
-		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.keptTo, answer.Servers)
+		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.allowedDataCentres, answer.Servers)
 		if len(missing) == 0 {
 			if answer.RateLimited {
 				gateway.pool.WatchRateLimit(servers[0].ID)
 			}
-			plan := planOf(answer, servers)
+			plan := planFromAnswer(answer, servers)
 			return plan, gateway.pool.StartWithID(id, plan, forwarder.placementRequest()), true
 		}
 		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
@@ -69,50 +69,50 @@
 		// servers.
 		gateway.coordinator.ReleaseAssignment(id)
 		gateway.logger.Info("coordinator chose servers that are not in the pool", "request_id", forwarder.head.ID, "servers", missing)
-		if slices.Contains(forwarder.tried, missing[0]) {
+		if slices.Contains(forwarder.triedServers, missing[0]) {
 			return placement.Plan{}, nil, false // the coordinator has no other servers
 		}
-		forwarder.tried = append(forwarder.tried, missing...)
+		forwarder.triedServers = append(forwarder.triedServers, missing...)
 	}
 	return placement.Plan{}, nil, false
 }
 
-// newAsk returns the placement request for the coordinator. alreadyCounted is true when
+// coordinatorRequest returns the placement request for the coordinator. alreadyCounted is true when
 // the coordinator has counted the request for the retry budget before.
-func (forwarder *run) newAsk(id uint64, alreadyCounted bool) dispatch.AssignmentRequest {
+func (forwarder *forwarder) coordinatorRequest(id uint64, alreadyCounted bool) dispatch.AssignmentRequest {
 	request := forwarder.placementRequest()
 	return dispatch.AssignmentRequest{
 		ID: id, Service: forwarder.service.Name, Tokens: request.Tokens, Memory: request.Memory,
 		InterTokenObjective: request.InterTokenObjective, Objective: request.Objective, TimeToObjective: request.TimeToObjective, TimeToCallerDeadline: request.TimeToCallerDeadline,
-		DataCentre: request.DataCentre, Tried: forwarder.tried, AllowedDataCentres: forwarder.keptTo, Retry: forwarder.arrivals > 0 && forwarder.gateway.retriesGranted(),
+		DataCentre: request.DataCentre, Tried: forwarder.triedServers, AllowedDataCentres: forwarder.allowedDataCentres, Retry: forwarder.deliveries > 0 && forwarder.gateway.coordinatorGrantsRetries(),
 		Counted: alreadyCounted,
 	}
 }
 
-// planOf returns the plan of the coordinator's decision, over the servers that it names.
-func planOf(answer dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
+// planFromAnswer returns the plan of the coordinator's decision, over the servers that it names.
+func planFromAnswer(answer dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
 	return placement.Plan{
 		Server: servers[0], Helpers: servers[1:], PrefillPerServer: answer.PrefillPerServer, MemoryShares: answer.MemoryShares,
 		PredictedTTFT: answer.PredictedTTFT, Packable: answer.Packable, Reason: placement.Reason(answer.Reason),
 	}
 }
 
-// heldUntil returns until when a request is queued. A plain request, or one that was already
+// queueDeadline returns until when a request is queued. A plain request, or one that was already
 // sent to a server, is queued until its deadline. Any other request is queued as long as the
 // settings allow, or, if it is tight (see placement.Request.Packable), while its caller could still
 // receive an event in time. This bounds the queue and the memory for its bodies, and leaves the
 // caller time to retry.
-func (forwarder *run) heldUntil() time.Time {
+func (forwarder *forwarder) queueDeadline() time.Time {
 	request := forwarder.placementRequest()
 	if forwarder.sends > 0 || request.Engine == nil || request.InterTokenObjective == 0 {
 		return forwarder.deadline
 	}
 	if request.Packable() {
-		return forwarder.leaves().Add(-request.MinTTFT())
+		return forwarder.callerLeavesAt().Add(-request.MinTTFT())
 	}
 	settings := forwarder.gateway.settings.Request
-	return forwarder.arrived.Add(settings.LastLook + time.Duration(min(
-		settings.HoldObjectives*float64(forwarder.route.Objective),
-		settings.HoldPart*float64(forwarder.deadline.Sub(forwarder.arrived)),
+	return forwarder.arrivedAt.Add(settings.QueueTimeExtra + time.Duration(min(
+		settings.QueueTimeObjectives*float64(forwarder.route.Objective),
+		settings.QueueTimeFraction*float64(forwarder.deadline.Sub(forwarder.arrivedAt)),
 	)))
 }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -12,17 +12,17 @@
 func (gateway *Gateway) drain(servers ...*http.Server) {
 	gateway.stopping.Store(true)
 	requestedAt := gateway.now()
-	gateway.logger.Info("gateway drains", "running", gateway.running.Load())
-	latestEnd := requestedAt.Add(gateway.bounds.Load().Grace - gateway.settings.Drain.Reserve)
-	refuseAt := requestedAt.Add(gateway.settings.Drain.Notice)
-	wait.For(gateway.life, refuseAt.Sub(requestedAt))
-	gateway.closing.Store(true)
-	for gateway.running.Load() > 0 && gateway.now().Before(latestEnd) {
-		wait.For(gateway.life, drainTick)
+	gateway.logger.Info("gateway drains", "running", gateway.inFlight.Load())
+	latestEnd := requestedAt.Add(gateway.bounds.Load().Grace - gateway.settings.Drain.ShutdownReserve)
+	refuseAt := requestedAt.Add(gateway.settings.Drain.RefuseDelay)
+	wait.For(gateway.baseContext, refuseAt.Sub(requestedAt))
+	gateway.refusing.Store(true)
+	for gateway.inFlight.Load() > 0 && gateway.now().Before(latestEnd) {
+		wait.For(gateway.baseContext, drainPollInterval)
 	}
-	gateway.logger.Info("gateway drained", "running", gateway.running.Load(), "after", gateway.now().Sub(requestedAt))
-	gateway.end(errStopping)
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), gateway.settings.Drain.Reserve/2)
+	gateway.logger.Info("gateway drained", "running", gateway.inFlight.Load(), "after", gateway.now().Sub(requestedAt))
+	gateway.cancelBase(errStopping)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), gateway.settings.Drain.ShutdownReserve/2)
 	defer cancel()
 	for _, server := range servers {
 		// Connections that are still open after the timeout are closed when the process exits.
--- a/internal/gateway/epochs.go
+++ b/internal/gateway/epochs.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// followEpochs handles changes of the epoch of the platform's store until ctx is done. A new epoch
+// watchEpochs handles changes of the epoch of the platform's store until ctx is done. A new epoch
 // begins when the store is restored to an older state; everything that the gateways stored is then
 // written again.
-func (gateway *Gateway) followEpochs(ctx context.Context) {
+func (gateway *Gateway) watchEpochs(ctx context.Context) {
 	var handledRestore time.Time
 	for ctx.Err() == nil {
 		changed := gateway.epochs.Changed()
 		restoredAt := gateway.epochs.Rose()
-		gateway.stayInEpoch(ctx, changed, restoredAt.After(handledRestore))
+		gateway.handleEpoch(ctx, changed, restoredAt.After(handledRestore))
 		handledRestore = restoredAt
 	}
 }
 
-// stayInEpoch handles one epoch until it is over or ctx is done. It reads the store again whenever
+// handleEpoch handles one epoch until it is over or ctx is done. It reads the store again whenever
 // another VM reports a newer epoch. afterRestore is true if the epoch began with a restore of the
 // store. Writes still in progress are cancelled when the epoch is over: the store may have lost
 // them again, and the next epoch starts them anew.
-func (gateway *Gateway) stayInEpoch(ctx context.Context, ended <-chan struct{}, afterRestore bool) {
+func (gateway *Gateway) handleEpoch(ctx context.Context, ended <-chan struct{}, afterRestore bool) {
 	var rewriting sync.WaitGroup
 	defer rewriting.Wait()
 	epochCtx, cancel := context.WithCancel(ctx)
@@ -37,7 +37,7 @@
 	for {
 		select {
 		case <-gateway.epochs.Hinted():
-			gateway.renew()
+			gateway.refreshFollowers()
 		case <-ended:
 			return
 		case <-ctx.Done():
@@ -46,8 +46,8 @@
 	}
 }
 
-// renew makes the followers read the store at once.
-func (gateway *Gateway) renew() {
+// refreshFollowers makes the followers read the store at once.
+func (gateway *Gateway) refreshFollowers() {
 	gateway.configuration.Renew()
 	gateway.directory.Renew()
 }
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -17,9 +17,9 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// run handles one admitted request from its placement to its outcome. It is used by one
-// goroutine, apart from hasEvents.
-type run struct {
+// forwarder handles one admitted request from its placement to its outcome. It is used by one
+// goroutine, apart from receivedEvent.
+type forwarder struct {
 	*admitted
 
 	gateway *Gateway
@@ -30,40 +30,40 @@
 	writer      http.ResponseWriter
 	// sends counts the attempts to send the request to a server.
 	sends int
-	// arrivals counts the attempts in which the request may have reached a server.
-	arrivals int
-	// asked is true once a placement was requested from the coordinator, which then
+	// deliveries counts the attempts in which the request may have reached a server.
+	deliveries int
+	// placementRequested is true once a placement was requested from the coordinator, which then
 	// has counted the request for the retry budget.
-	asked bool
-	// looks counts the placement plans that were attempted.
-	looks int
-	// runs counts the servers that may have executed the request.
-	runs int
-	// tried has the IDs of servers that failed or refused the request.
-	tried []string
-	// last is the result of the last attempt.
-	last result
-	// refused is true when the coordinator expects no capacity before the caller
+	placementRequested bool
+	// planAttempts counts the placement plans that were attempted.
+	planAttempts int
+	// executions counts the servers that may have executed the request.
+	executions int
+	// triedServers has the IDs of servers that failed or refused the request.
+	triedServers []string
+	// lastResult is the result of the last attempt.
+	lastResult result
+	// placementRefused is true when the coordinator expects no capacity before the caller
 	// disconnects.
-	refused bool
-	// granted is true when the coordinator chose the servers of the last plan. Where the
+	placementRefused bool
+	// retryGranted is true when the coordinator chose the servers of the last plan. Where the
 	// coordinator grants retries, this includes the grant.
-	granted bool
-	// givenUp is why the request is rejected without a placement, or its zero value.
-	givenUp givenUp
-	// begun is true once the header of a response was written to the caller. hasEvents is
+	retryGranted bool
+	// rejection is why the request is rejected without a placement, or its zero value.
+	rejection rejection
+	// responseStarted is true once the header of a response was written to the caller. receivedEvent is
 	// true once an event was received from a server; the quarantine reads it from another
 	// goroutine.
-	begun     bool
-	hasEvents atomic.Bool
+	responseStarted bool
+	receivedEvent   atomic.Bool
 	// lastEvent is the ID of the last event that the caller received, or empty.
 	lastEvent string
-	account   account
+	timings   timings
 	seed      uint64
 }
 
-func newRun(gateway *Gateway, admitted *admitted, body []byte, writer http.ResponseWriter) *run {
-	return &run{
+func newForwarder(gateway *Gateway, admitted *admitted, body []byte, writer http.ResponseWriter) *forwarder {
+	return &forwarder{
 		admitted:  admitted,
 		gateway:   gateway,
 		body:      body,
@@ -103,11 +103,11 @@
 	resultUncertain resultKind = "uncertain"
 	// resultNoMemory: nothing was sent, because engine memory could not be reserved.
 	resultNoMemory resultKind = "no_memory"
-	// resultMoved: nothing was sent, because a server of the plan stopped accepting
+	// resultServerUnavailable: nothing was sent, because a server of the plan stopped accepting
 	// requests after it was chosen.
-	resultMoved resultKind = "moved"
-	// resultBroken: the response to the caller was started and cannot be completed.
-	resultBroken resultKind = "broken"
+	resultServerUnavailable resultKind = "moved"
+	// resultTruncated: the response to the caller was started and cannot be completed.
+	resultTruncated resultKind = "broken"
 )
 
 // result is the result of one attempt.
@@ -115,81 +115,81 @@
 	kind   resultKind
 	status int
 	err    error
-	// atFault is the address of the server that failed, or empty if it is the server that the
+	// failedServer is the address of the server that failed, or empty if it is the server that the
 	// request was sent to.
-	atFault string
-	// closed is true if the server accepts no more requests.
-	closed bool
-	// lost is true if the connection broke while the server was processing the request. A
+	failedServer string
+	// serverClosed is true if the server accepts no more requests.
+	serverClosed bool
+	// connectionLost is true if the connection broke while the server was processing the request. A
 	// server crash has this effect on all its requests.
-	lost bool
+	connectionLost bool
 	// notSent is true if no connection to the server was made, so that the request cannot have
 	// reached it.
 	notSent bool
-	// ran is true if an event was received from the server.
-	ran bool
-	// excused is true if the failure is not evidence against the server.
-	excused bool
+	// receivedEvent is true if an event was received from the server.
+	receivedEvent bool
+	// serverNotAtFault is true if the failure is not evidence against the server.
+	serverNotAtFault bool
 	// answer is a response of the server that is forwarded if no further attempt succeeds, or
 	// nil.
-	answer *plainAnswer
+	answer *bufferedResponse
 }
 
-// execute sends the request to servers until it has an outcome.
-func (forwarder *run) execute(ctx context.Context) outcome {
+// forward sends the request to servers until it has an outcome.
+func (forwarder *forwarder) forward(ctx context.Context) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer forwarder.gateway.quarantine.Watch(forwarder.fingerprint, func() { forwarder.endHarmful(cancel) })()
+	defer forwarder.gateway.quarantine.Watch(forwarder.fingerprint, func() { forwarder.cancelIfNoEvents(cancel) })()
 	budget := forwarder.gateway.budget(forwarder.service.Name)
 	budget.Earn()
 	for {
 		if forwarder.gateway.quarantine.Remaining(forwarder.fingerprint) > 0 {
-			return forwarder.fail(ReasonCrashesServers)
+			return forwarder.failureOutcome(ReasonCrashesServers)
 		}
 		plan, use, ok := forwarder.place(ctx)
 		if !ok && ctx.Err() == nil {
-			return forwarder.fail(forwarder.unplaced())
+			return forwarder.failureOutcome(forwarder.rejectionReason())
 		}
 		if !ok {
-			return forwarder.interrupted(ctx)
+			return forwarder.interruptedOutcome(ctx)
 		}
-		if forwarder.arrivals > 0 && !forwarder.mayRetry(budget) {
+		if forwarder.deliveries > 0 && !forwarder.mayRetry(budget) {
 			use.Finish()
-			return forwarder.fail(ReasonRefused)
+			return forwarder.failureOutcome(ReasonServersRefused)
 		}
-		forwarder.looks++
+		forwarder.planAttempts++
 		result := forwarder.attempt(ctx, plan, use)
 		switch result.kind {
 		case resultNoMemory:
-			forwarder.gateway.logger.Info("engine memory reservation failed", "request_id", forwarder.head.ID, "look", forwarder.looks, "error", result.err)
-			wait.For(ctx, forwarder.gateway.settings.Request.Look)
+			forwarder.gateway.logger.Info("engine memory reservation failed", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
+			wait.For(ctx, forwarder.gateway.settings.Request.PlacementInterval)
 			continue
-		case resultMoved:
-			forwarder.gateway.logger.Info("planned server stopped accepting requests; placing the request again", "request_id", forwarder.head.ID, "look", forwarder.looks, "error", result.err)
+		case resultServerUnavailable:
+			forwarder.gateway.logger.Info("planned server stopped accepting requests; placing the request again", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
 			continue
-		case resultAnswered, resultNotRun, resultUncertain, resultBroken:
+		case resultAnswered, resultNotRun, resultUncertain, resultTruncated:
 		}
 		forwarder.sends++
 		if !result.notSent {
-			forwarder.arrivals++
+			forwarder.deliveries++
 		}
-		if final, done := forwarder.conclude(ctx, plan, result); done {
+		if final, done := forwarder.handleResult(ctx, plan, result); done {
 			return final
 		}
 	}
 }
 
-// endHarmful cancels the request when it is quarantined. A request that has received events
+// cancelIfNoEvents cancels the request when it is quarantined. A request that has received events
 // continues, and its result shows whether the quarantine was wrong.
-func (forwarder *run) endHarmful(cancel context.CancelCauseFunc) {
-	if !forwarder.hasEvents.Load() {
-		cancel(errHarmful)
+func (forwarder *forwarder) cancelIfNoEvents(cancel context.CancelCauseFunc) {
+	if !forwarder.receivedEvent.Load() {
+		cancel(errQuarantined)
 	}
 }
 
 // dispatch returns the fields that are sent to the server of a plan. The reservation is nil if no
 // memory was reserved.
-func (forwarder *run) dispatch(plan placement.Plan, reserved *reservation.Reservation) call.Dispatch {
+func (forwarder *forwarder) dispatch(plan placement.Plan, reserved *reservation.Reservation) call.Dispatch {
 	dispatch := call.Dispatch{
 		Instance:     plan.Server.ID,
 		Time:         forwarder.callerDeadline.Sub(forwarder.gateway.now()),
@@ -212,62 +212,62 @@
 
 // Upper limits of the objective for each urgency.
 const (
-	urgentObjective = 500 * time.Millisecond
-	normalObjective = 2 * time.Second
+	highUrgencyObjective   = 500 * time.Millisecond
+	normalUrgencyObjective = 2 * time.Second
 )
 
 // urgency returns the priority of the request at an engine, derived from its objective.
-func (forwarder *run) urgency() call.Urgency {
+func (forwarder *forwarder) urgency() call.Urgency {
 	switch {
 	case forwarder.head.Prompt == nil:
 		return call.UrgencyNone
-	case forwarder.route.Objective <= urgentObjective:
+	case forwarder.route.Objective <= highUrgencyObjective:
 		return call.UrgencyHigh
-	case forwarder.route.Objective <= normalObjective:
+	case forwarder.route.Objective <= normalUrgencyObjective:
 		return call.UrgencyNormal
 	default:
 		return call.UrgencyLow
 	}
 }
 
-// conclude records the result of an attempt. It returns the final outcome and true, or false if
+// handleResult records the result of an attempt. It returns the final outcome and true, or false if
 // another attempt follows.
-func (forwarder *run) conclude(ctx context.Context, plan placement.Plan, result result) (outcome, bool) {
+func (forwarder *forwarder) handleResult(ctx context.Context, plan placement.Plan, result result) (outcome, bool) {
 	gateway := forwarder.gateway
 	gateway.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
-	forwarder.last = result
+	forwarder.lastResult = result
 	if result.kind == resultAnswered {
 		gateway.pool.RecordSuccess(plan.Server.ID, forwarder.fingerprint)
 		gateway.quarantine.RecordCompletion(forwarder.fingerprint, plan.Server.ID)
-		return outcome{status: result.status, answered: true, server: plan.Server.ID}, true
+		return outcome{status: result.status, responseWritten: true, server: plan.Server.ID}, true
 	}
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		forwarder.noteFailure(plan, result)
+		forwarder.recordFailure(plan, result)
 	}
 	if result.kind != resultNotRun {
-		forwarder.runs++
+		forwarder.executions++
 	}
 	switch {
 	case ctx.Err() != nil:
-		return forwarder.interrupted(ctx), true
-	case result.kind == resultBroken, result.kind == resultUncertain && !forwarder.route.Repeatable(),
-		forwarder.runs >= forwarder.route.MaxAttempts, result.lost && gateway.quarantine.OnProbation(forwarder.fingerprint):
-		return forwarder.fail(ReasonServerFailed), true
+		return forwarder.interruptedOutcome(ctx), true
+	case result.kind == resultTruncated, result.kind == resultUncertain && !forwarder.route.Repeatable(),
+		forwarder.executions >= forwarder.route.MaxAttempts, result.connectionLost && gateway.quarantine.OnProbation(forwarder.fingerprint):
+		return forwarder.failureOutcome(ReasonServerFailed), true
 	}
 	return outcome{}, false
 }
 
-// noteFailure reports a failed attempt to the pool and the quarantine, and logs it.
-func (forwarder *run) noteFailure(plan placement.Plan, result result) {
-	failedServer := plan.ServerIDAt(result.atFault)
-	forwarder.tried = append(forwarder.tried, failedServer)
+// recordFailure reports a failed attempt to the pool and the quarantine, and logs it.
+func (forwarder *forwarder) recordFailure(plan placement.Plan, result result) {
+	failedServer := plan.ServerIDAt(result.failedServer)
+	forwarder.triedServers = append(forwarder.triedServers, failedServer)
 	suspect := false
 	switch {
-	case result.excused:
-	case result.closed:
+	case result.serverNotAtFault:
+	case result.serverClosed:
 		forwarder.gateway.pool.MarkClosed(failedServer)
-	case result.lost:
-		loss := quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: failedServer, HadEvent: result.ran}
+	case result.connectionLost:
+		loss := quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: failedServer, HadEvent: result.receivedEvent}
 		suspect = forwarder.gateway.pool.RecordConnectionLoss(failedServer, forwarder.fingerprint, phaseOf(loss))
 		forwarder.gateway.quarantine.RecordLoss(loss)
 	default:
@@ -275,47 +275,47 @@
 	}
 	forwarder.gateway.logger.Warn("attempt failed", "request_id", forwarder.head.ID, "send", forwarder.sends-1,
 		"server", plan.Server.ID, "at_fault", failedServer, "result", result.kind, "status", result.status,
-		"lost", result.lost, "ran", result.ran, "fingerprint", forwarder.fingerprint, "suspect", suspect, "error", result.err)
+		"lost", result.connectionLost, "ran", result.receivedEvent, "fingerprint", forwarder.fingerprint, "suspect", suspect, "error", result.err)
 }
 
-// interrupted returns the outcome of a request whose context ended.
-func (forwarder *run) interrupted(ctx context.Context) outcome {
+// interruptedOutcome returns the outcome of a request whose context ended.
+func (forwarder *forwarder) interruptedOutcome(ctx context.Context) outcome {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.DeadlineExceeded):
-		return forwarder.fail(ReasonTime)
+		return forwarder.failureOutcome(ReasonDeadlineExceeded)
 	case errors.Is(cause, errStopping):
-		return forwarder.fail(ReasonStopping)
-	case errors.Is(cause, errHarmful):
-		return forwarder.fail(ReasonCrashesServers)
+		return forwarder.failureOutcome(ReasonStopping)
+	case errors.Is(cause, errQuarantined):
+		return forwarder.failureOutcome(ReasonCrashesServers)
 	default:
-		return outcome{reason: ReasonCallerGone, mayHaveRun: forwarder.runs > 0, broken: forwarder.begun, answered: forwarder.begun}
+		return outcome{reason: ReasonCallerGone, mayHaveRun: forwarder.executions > 0, truncated: forwarder.responseStarted, responseWritten: forwarder.responseStarted}
 	}
 }
 
-// fail returns the outcome of a request for which no further attempt is made. A failure
+// failureOutcome returns the outcome of a request for which no further attempt is made. A failure
 // response of the last server takes precedence over one generated by the gateway.
-func (forwarder *run) fail(reason Reason) outcome {
-	if forwarder.begun {
-		return outcome{status: http.StatusOK, reason: reason, mayHaveRun: true, answered: true, broken: true}
+func (forwarder *forwarder) failureOutcome(reason Reason) outcome {
+	if forwarder.responseStarted {
+		return outcome{status: http.StatusOK, reason: reason, mayHaveRun: true, responseWritten: true, truncated: true}
 	}
-	if answer := forwarder.last.answer; answer != nil {
-		forwarder.writePlain(answer)
-		return outcome{status: answer.status, reason: reason, mayHaveRun: true, answered: true}
+	if answer := forwarder.lastResult.answer; answer != nil {
+		forwarder.writeBuffered(answer)
+		return outcome{status: answer.status, reason: reason, mayHaveRun: true, responseWritten: true}
 	}
-	return failure(reason, forwarder.runs > 0, forwarder.returnAfter(reason))
+	return failure(reason, forwarder.executions > 0, forwarder.retryDelay(reason))
 }
 
-// returnAfter returns after how long a caller may retry that was refused for the given reason.
-func (forwarder *run) returnAfter(reason Reason) time.Duration {
+// retryDelay returns after how long a caller may retry that was refused for the given reason.
+func (forwarder *forwarder) retryDelay(reason Reason) time.Duration {
 	switch reason {
 	case ReasonCrashesServers:
 		return forwarder.gateway.quarantine.Remaining(forwarder.fingerprint)
-	case ReasonResting:
-		return forwarder.givenUp.until.Sub(forwarder.gateway.now()) + forwarder.gateway.retryAfter()
-	case ReasonEvacuated:
+	case ReasonServersBackoff:
+		return forwarder.rejection.until.Sub(forwarder.gateway.now()) + forwarder.gateway.retryAfter()
+	case ReasonServersEvacuated:
 		return forwarder.gateway.storeRetryAfter() // like a store outage, an evacuation lasts seconds
-	case ReasonLimited:
-		return max(forwarder.givenUp.until.Sub(forwarder.gateway.now()), forwarder.gateway.settings.Request.RetryAfterMin)
+	case ReasonServersRateLimited:
+		return max(forwarder.rejection.until.Sub(forwarder.gateway.now()), forwarder.gateway.settings.Request.RetryAfterMin)
 	default:
 		return forwarder.gateway.retryAfter()
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,21 +36,21 @@
 
 // Timing and size limits of the process that no settings file changes.
 const (
-	// houseTick is the interval between sweeps of idle connections and updates of the
+	// maintenanceInterval is the interval between sweeps of idle connections and updates of the
 	// retry limits.
-	houseTick = 500 * time.Millisecond
-	// drainTick is the interval at which a draining process checks whether all requests
+	maintenanceInterval = 500 * time.Millisecond
+	// drainPollInterval is the interval at which a draining process checks whether all requests
 	// have ended.
-	drainTick = 50 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// headerTimeout is the longest time to receive the header of a request. It applies before a
 	// configuration is in force; the users' configurations set 3 s.
 	headerTimeout = 3 * time.Second
 	// maxHeaderBytes is the most that is ever read of a request's header, in bytes; the users'
 	// configurations set 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// freshPart is the fraction of Bounds.Revoke up to which a VM reports ready, measured by
+	// readyAgeFraction is the fraction of Bounds.Revoke up to which a VM reports ready, measured by
 	// the age of its configuration.
-	freshPart = 0.6
+	readyAgeFraction = 0.6
 )
 
 // Sources are the stores that a gateway follows or writes to.
@@ -78,36 +78,36 @@
 	// started is the time at which the process started.
 	started time.Time
 
-	belief        *belief
+	operatorState *operatorState
 	configuration *follower.Follower[catalog.Record]
 	directory     *follower.Follower[directory.Entry]
 	exchange      *exchange.Exchange
 	// tails has the recently read part of each source by the source's name, served to other VMs.
-	tails        map[string]*follower.Tail
-	pool         *pool.Pool
-	policy       placement.Policy
-	coordinator  *coordinator.Coordinator
-	upstream     *upstream.Client
-	reservations *reservation.Manager
-	metrics      *metrics
-	idle         *idleConnections
-	returns      *returns
-	quarantine   *quarantine.Tracker
-	epochs       *epoch.Watch
+	tails         map[string]*follower.Tail
+	pool          *pool.Pool
+	policy        placement.Policy
+	coordinator   *coordinator.Coordinator
+	upstream      *upstream.Client
+	reservations  *reservation.Manager
+	metrics       *metrics
+	idle          *idleConnections
+	retryDetector *retryDetector
+	quarantine    *quarantine.Tracker
+	epochs        *epoch.Watch
 
-	// running counts requests in flight.
-	running atomic.Int64
-	// bodies limits the memory for the bodies of requests in flight, and responseMemory the
+	// inFlight counts requests in flight.
+	inFlight atomic.Int64
+	// bodyMemory limits the memory for the bodies of requests in flight, and responseMemory the
 	// memory for responses that callers have not read yet.
-	bodies  memory
-	answers *answerRoom
+	bodyMemory     memoryLimit
+	responseMemory *responseBuffers
 	// stopping is true once the process was asked to stop.
 	stopping atomic.Bool
-	// closing is true once a draining process refuses new requests.
-	closing atomic.Bool
-	// life is cancelled when requests in flight must be aborted.
-	life context.Context //nolint:containedctx // requests outlive the context passed to Run
-	end  context.CancelCauseFunc
+	// refusing is true once a draining process refuses new requests.
+	refusing atomic.Bool
+	// baseContext is cancelled when requests in flight must be aborted.
+	baseContext context.Context //nolint:containedctx // requests outlive the context passed to Run
+	cancelBase  context.CancelCauseFunc
 
 	budgetMu sync.Mutex
 	// budgets has the retry budget of each service by its name.
@@ -117,9 +117,9 @@
 // errStopping is the cancellation cause of requests in flight when the process stops.
 var errStopping = errors.New("process is stopping")
 
-// errHarmful is the cancellation cause of a request that was quarantined because servers crash
+// errQuarantined is the cancellation cause of a request that was quarantined because servers crash
 // while they process it.
-var errHarmful = errors.New("request is quarantined: servers crash while processing it")
+var errQuarantined = errors.New("request is quarantined: servers crash while processing it")
 
 // New returns a gateway. It receives datagrams from other VMs from this call on, and serves once
 // Run is called.
@@ -140,33 +140,33 @@
 	serverPool := pool.New(settings.Pool, site.VM, exchange, logger, now)
 	baseContext, cancelBase := context.WithCancelCause(context.Background())
 	gateway := &Gateway{
-		settings: settings,
-		site:     site,
-		codec:    codec,
-		network:  hostNetwork,
-		logger:   logger,
-		clock:    clock,
-		now:      now,
-		belief:   newBelief(serverPool, logger),
-		started:  now(),
-		exchange: exchange,
-		pool:     serverPool,
-		policy:   newPolicy(settings),
-		idle:     newIdleConnections(now),
-		returns:  newReturns(now),
+		settings:      settings,
+		site:          site,
+		codec:         codec,
+		network:       hostNetwork,
+		logger:        logger,
+		clock:         clock,
+		now:           now,
+		operatorState: newOperatorState(serverPool, logger),
+		started:       now(),
+		exchange:      exchange,
+		pool:          serverPool,
+		policy:        newPolicy(settings),
+		idle:          newIdleConnections(now),
+		retryDetector: newRetryDetector(now),
 
 		epochs:     sources.Epochs,
 		quarantine: quarantine.New(settings.Quarantine, sources.Quarantine, exchange, logger, now),
 
-		bodies:  memory{most: site.part(settings.Request.MaxBodyPart)},
-		answers: newAnswerRoom(site.part(settings.Request.MaxAnswersPart)),
-		life:    baseContext,
-		end:     cancelBase,
-		budgets: make(map[string]*retrybudget.Budget),
+		bodyMemory:     memoryLimit{maxBytes: site.memoryFraction(settings.Request.BodyMemoryFraction)},
+		responseMemory: newResponseBuffers(site.memoryFraction(settings.Request.ResponseMemoryFraction)),
+		baseContext:    baseContext,
+		cancelBase:     cancelBase,
+		budgets:        make(map[string]*retrybudget.Budget),
 	}
 	gateway.upstream = upstream.New(settings.Upstream, hostNetwork, notices{gateway}, now)
 	gateway.coordinator = coordinator.New(settings.Coordinator, site.VM, gateway.policy, gateway.pool, gateway.service,
-		&commonRetries{gateway: gateway, budgets: make(map[string]*commonBudget)}, exchange, now)
+		&sharedRetries{gateway: gateway, budgets: make(map[string]*sharedBudget)}, exchange, now)
 	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxHold(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
 	gateway.metrics = newMetrics(gateway)
 	gateway.bounds.Store(&site.Bounds)
@@ -184,11 +184,11 @@
 	gateway.configuration = follower.New(
 		sources.Configuration.WithLog(
 			viaPeers(sources.Configuration.Name, sources.Configuration.Log, settings.Configuration.Patience)),
-		gateway.belief, settings.Configuration, sources.Epochs, logger, now)
+		gateway.operatorState, settings.Configuration, sources.Epochs, logger, now)
 	gateway.directory = follower.New(
 		sources.Servers.WithLog(
 			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.Patience)),
-		gateway.pool, settings.Directory.WithSettleAtLeast(lapseTime(site)), sources.Epochs, logger, now)
+		gateway.pool, settings.Directory.WithSettleAtLeast(entryExpiry(site)), sources.Epochs, logger, now)
 	gateway.tails = map[string]*follower.Tail{
 		sources.Configuration.Name: gateway.configuration.Tail(),
 		sources.Servers.Name:       gateway.directory.Tail(),
@@ -196,18 +196,18 @@
 	return gateway, nil
 }
 
-// lapses is the number of heartbeat intervals after which the entry of a stopped server
+// expiryHeartbeats is the number of heartbeat intervals after which the entry of a stopped server
 // has expired: three missed heartbeats, and one interval for a heartbeat still in transit.
-const lapses = 3 + 1
+const expiryHeartbeats = 3 + 1
 
-// lapseTime returns how long the entry of a stopped server may remain in the store.
-func lapseTime(site Site) time.Duration {
-	return lapses * site.Heartbeat
+// entryExpiry returns how long the entry of a stopped server may remain in the store.
+func entryExpiry(site Site) time.Duration {
+	return expiryHeartbeats * site.Heartbeat
 }
 
 // service looks up a service in the configuration in force. It reports false while there is none.
 func (gateway *Gateway) service(name string) (*catalog.Service, bool) {
-	current := gateway.belief.current.Load()
+	current := gateway.operatorState.current.Load()
 	if current == nil {
 		return nil, false
 	}
@@ -217,33 +217,33 @@
 // Run serves until ctx is done. It then drains: it returns when all requests have ended or the
 // grace period is nearly over.
 func (gateway *Gateway) Run(ctx context.Context) error {
-	defer gateway.end(errStopping)
+	defer gateway.cancelBase(errStopping)
 	callerServer := &http.Server{
 		Handler:           http.HandlerFunc(gateway.serve),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         gateway.idle.changed,
+		ConnState:         gateway.idle.connStateChanged,
 		ErrorLog:          slog.NewLogLogger(gateway.logger.Handler(), slog.LevelDebug),
 	}
 	readinessServer := &http.Server{Handler: gateway.readyHandler(), ReadHeaderTimeout: headerTimeout}
 	peerServer := &http.Server{Handler: feed.Handler(gateway.tails, gateway.epochs, gateway.logger), ReadHeaderTimeout: headerTimeout}
-	group, groupCtx := errgroup.WithContext(gateway.life)
+	group, groupCtx := errgroup.WithContext(gateway.baseContext)
 	group.Go(func() error { return gateway.listenAndServe(groupCtx, callerServer, gateway.site.Address) })
 	group.Go(func() error { return gateway.listenAndServe(groupCtx, readinessServer, gateway.site.ReadyAddress) })
 	group.Go(func() error { return gateway.listenAndServe(groupCtx, peerServer, gateway.site.PeerAddress) })
 	group.Go(func() error {
-		return gateway.exchange.Run(groupCtx, told{
+		return gateway.exchange.Run(groupCtx, peerSink{
 			Pool: gateway.pool, Coordinator: gateway.coordinator, quarantine: gateway.quarantine, tails: gateway.tails,
-			judges: gateway.exchange.Evaluates, now: gateway.now,
+			isCoordinator: gateway.exchange.Evaluates, now: gateway.now,
 		})
 	})
 	group.Go(func() error { gateway.quarantine.Run(groupCtx, gateway.site.FirstStart); return nil })
 	group.Go(func() error { gateway.coordinator.Run(groupCtx); return nil })
 	group.Go(func() error { gateway.configuration.Run(groupCtx); return nil })
 	group.Go(func() error { gateway.directory.Run(groupCtx); return nil })
-	group.Go(func() error { gateway.keepHouse(groupCtx); return nil })
-	group.Go(func() error { gateway.followEpochs(groupCtx); return nil })
-	defer gateway.clock.AfterWake(gateway.wokeUp)()
+	group.Go(func() error { gateway.runMaintenance(groupCtx); return nil })
+	group.Go(func() error { gateway.watchEpochs(groupCtx); return nil })
+	defer gateway.clock.AfterWake(gateway.handleResume)()
 	group.Go(func() error { gateway.clock.Run(groupCtx); return nil })
 	drained := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -256,7 +256,7 @@
 	if !stop() {
 		<-drained
 	}
-	gateway.logger.Info("gateway stopped", "running", gateway.running.Load(), "error", err)
+	gateway.logger.Info("gateway stopped", "running", gateway.inFlight.Load(), "error", err)
 	return err
 }
 
@@ -272,24 +272,24 @@
 	return errors.Wrap(err, "gateway")
 }
 
-// wokeUp handles the resume of the machine after a suspension, which makes all stored state
+// handleResume handles the resume of the machine after a suspension, which makes all stored state
 // stale: its age is measured by the gateway's clock and includes the suspension. The state is read
 // again, and reads from the store and from other VMs that were in flight are sent again.
-func (gateway *Gateway) wokeUp(slept time.Duration) {
+func (gateway *Gateway) handleResume(slept time.Duration) {
 	gateway.logger.Warn("resumed after machine suspension", "slept", slept)
-	gateway.renew()
+	gateway.refreshFollowers()
 	gateway.exchange.Resumed(slept)
 }
 
-// keepHouse periodically closes connections that were idle for too long and updates the retry
+// runMaintenance periodically closes connections that were idle for too long and updates the retry
 // limits, until ctx is done.
-func (gateway *Gateway) keepHouse(ctx context.Context) {
-	for wait.For(ctx, houseTick) {
+func (gateway *Gateway) runMaintenance(ctx context.Context) {
+	for wait.For(ctx, maintenanceInterval) {
 		gateway.upstream.Sweep()
-		if catalog := gateway.belief.current.Load(); catalog != nil {
+		if catalog := gateway.operatorState.current.Load(); catalog != nil {
 			gateway.idle.close(catalog.Limits().IdleTimeout)
 		}
-		gateway.shareBudgets()
+		gateway.updateRetryLimits()
 	}
 }
 
@@ -298,24 +298,24 @@
 func (gateway *Gateway) Reload(site Site) {
 	bounds := site.Bounds
 	gateway.bounds.Store(&bounds)
-	gateway.shareBudgets()
+	gateway.updateRetryLimits()
 	site.Bounds = gateway.site.Bounds
 	gateway.logger.Info("settings read again", "bounds", bounds, "needs_restart", !reflect.DeepEqual(site, gateway.site))
 }
 
 // retryAfter returns after how long a refused caller may retry.
 func (gateway *Gateway) retryAfter() time.Duration {
-	return between(gateway.settings.Request.RetryAfterMin, gateway.settings.Request.RetryAfterMax)
+	return randomBetween(gateway.settings.Request.RetryAfterMin, gateway.settings.Request.RetryAfterMax)
 }
 
 // storeRetryAfter returns after how long a caller may retry that was refused because this VM has no
 // configuration yet.
 func (gateway *Gateway) storeRetryAfter() time.Duration {
-	return between(gateway.settings.Request.StoreRetryMin, gateway.settings.Request.StoreRetryMax)
+	return randomBetween(gateway.settings.Request.StoreRetryMin, gateway.settings.Request.StoreRetryMax)
 }
 
-// between returns a random duration, so that refused callers do not all retry at the same
+// randomBetween returns a random duration, so that refused callers do not all retry at the same
 // time.
-func between(shortest, longest time.Duration) time.Duration {
+func randomBetween(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(rand.Float64()*float64(longest-shortest)) //nolint:gosec // not used for security
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -189,7 +189,7 @@
 func newSite() gateway.Site {
 	return gateway.Site{
 		VM: "vm-1", DataCentre: "north", Address: vmAddress, ReadyAddress: readyAddress,
-		PeerAddress: "10.0.1.1:82", Store: storeAddress, MemoryBytes: 256 << 20,
+		PeerAddress: "10.0.1.1:82", StoreAddress: storeAddress, MemoryBytes: 256 << 20,
 		Heartbeat: time.Second,
 		Bounds: gateway.Bounds{
 			Grace: 8 * time.Second, Revoke: 5 * time.Second, RevokeFailClosed: true,
--- a/internal/gateway/idleconnections.go
+++ b/internal/gateway/idleconnections.go
@@ -13,23 +13,23 @@
 	now func() time.Time
 
 	mu sync.Mutex
-	// since has the time at which each connection without a request became idle.
-	since map[net.Conn]time.Time
+	// idleSince has the time at which each connection without a request became idle.
+	idleSince map[net.Conn]time.Time
 }
 
 func newIdleConnections(now func() time.Time) *idleConnections {
-	return &idleConnections{now: now, since: make(map[net.Conn]time.Time)}
+	return &idleConnections{now: now, idleSince: make(map[net.Conn]time.Time)}
 }
 
-// changed records the state of a connection; it is a hook for http.Server.ConnState.
-func (idleconnections *idleConnections) changed(conn net.Conn, state http.ConnState) {
+// connStateChanged records the state of a connection; it is a hook for http.Server.ConnState.
+func (idleconnections *idleConnections) connStateChanged(conn net.Conn, state http.ConnState) {
 	idleconnections.mu.Lock()
 	defer idleconnections.mu.Unlock()
 	if state == http.StateIdle {
-		idleconnections.since[conn] = idleconnections.now()
+		idleconnections.idleSince[conn] = idleconnections.now()
 		return
 	}
-	delete(idleconnections.since, conn)
+	delete(idleconnections.idleSince, conn)
 }
 
 // close closes connections that have been idle for longer than limit. Zero means no limit.
@@ -47,7 +47,7 @@
 	idleconnections.mu.Lock()
 	defer idleconnections.mu.Unlock()
 	var idle []net.Conn
-	for conn, idleSince := range idleconnections.since {
+	for conn, idleSince := range idleconnections.idleSince {
 		if idleSince.Before(before) {
 			idle = append(idle, conn)
 		}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -57,13 +57,13 @@
 		metrics.eventDelay,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_running_requests", Help: "Requests in progress.",
-		}, func() float64 { return float64(gateway.running.Load()) }),
+		}, func() float64 { return float64(gateway.inFlight.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_body_bytes", Help: "Bodies of requests in progress.",
-		}, func() float64 { return float64(gateway.bodies.used.Load()) }),
+		}, func() float64 { return float64(gateway.bodyMemory.usedBytes.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_answer_bytes", Help: "Room taken for answers of servers that callers have not read.",
-		}, func() float64 { return float64(gateway.answers.used.Load()) }),
+		}, func() float64 { return float64(gateway.responseMemory.usedBytes.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_configuration_age_seconds", Help: "Age of the proof that the configuration is current.",
 		}, func() float64 {
@@ -108,8 +108,8 @@
 	return promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{})
 }
 
-// ended records the outcome and the duration of a request.
-func (metrics *metrics) ended(route, kind string, outcome outcome, elapsed time.Duration) {
+// recordEnd records the outcome and the duration of a request.
+func (metrics *metrics) recordEnd(route, kind string, outcome outcome, elapsed time.Duration) {
 	metrics.requests.WithLabelValues(route, kind, strconv.Itoa(outcome.status), string(outcome.reason)).Inc()
 	metrics.duration.WithLabelValues(route, kind).Observe(elapsed.Seconds())
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,10 +10,10 @@
 
 // Values of the label labelNotice.
 const (
-	noticeLeaving    = "leaving"
-	noticeRest       = "rest"
-	noticeLimit      = "limit"
-	noticeUnreadable = "unreadable"
+	noticeDraining  = "leaving"
+	noticeBackoff   = "rest"
+	noticeRateLimit = "limit"
+	noticeMalformed = "unreadable"
 )
 
 // notices handles what servers state about themselves in their responses, whatever the
@@ -29,23 +29,23 @@
 	gateway := notices.gateway
 	notice := gateway.codec.Notice(status, header)
 	if notice.Leaving {
-		gateway.metrics.notices.WithLabelValues(noticeLeaving).Inc()
+		gateway.metrics.notices.WithLabelValues(noticeDraining).Inc()
 		gateway.pool.MarkDraining(server)
 	}
 	if notice.Rest > 0 {
-		gateway.metrics.notices.WithLabelValues(noticeRest).Inc()
+		gateway.metrics.notices.WithLabelValues(noticeBackoff).Inc()
 		gateway.pool.BackOff(server, notice.Rest)
 	}
 	switch notice.Limit.Kind {
 	case call.LimitNamed:
-		gateway.metrics.notices.WithLabelValues(noticeLimit).Inc()
+		gateway.metrics.notices.WithLabelValues(noticeRateLimit).Inc()
 		gateway.pool.RecordRateLimit(server, notice.Limit.PerSecond)
 	case call.LimitNone:
 		gateway.pool.RecordNoRateLimit(server, sentAt)
 	case call.LimitUnclear:
 	}
 	for _, value := range notice.Unreadable {
-		gateway.metrics.notices.WithLabelValues(noticeUnreadable).Inc()
+		gateway.metrics.notices.WithLabelValues(noticeMalformed).Inc()
 		gateway.logger.Info("malformed notice in a server's response", "server", server, "status", status, "value", value)
 	}
 }
--- a/internal/gateway/operatorstate.go
+++ b/internal/gateway/operatorstate.go
@@ -19,12 +19,12 @@
 	Configure(services []catalog.Service)
 }
 
-// belief is the operator's statements that are in force at this VM: the configuration and
+// operatorState is the operator's statements that are in force at this VM: the configuration and
 // the evacuations. The configuration never reverts to an older version.
-type belief struct {
+type operatorState struct {
 	current atomic.Pointer[catalog.Catalog]
-	// known is closed once there is a configuration.
-	known chan struct{}
+	// configured is closed once there is a configuration.
+	configured chan struct{}
 	// evacuated has the data centres whose servers must get no requests, by the key of the
 	// operator's statement.
 	evacuated map[string]string
@@ -32,41 +32,41 @@
 	logger    *slog.Logger
 }
 
-func newBelief(listener statementListener, logger *slog.Logger) *belief {
-	return &belief{
-		known: make(chan struct{}), evacuated: make(map[string]string), listener: listener, logger: logger,
+func newOperatorState(listener statementListener, logger *slog.Logger) *operatorState {
+	return &operatorState{
+		configured: make(chan struct{}), evacuated: make(map[string]string), listener: listener, logger: logger,
 	}
 }
 
 // await returns the configuration in force. If there is none yet it waits until ctx is done, and
 // then returns nil.
-func (operatorState *belief) await(ctx context.Context) *catalog.Catalog {
+func (operatorState *operatorState) await(ctx context.Context) *catalog.Catalog {
 	select {
-	case <-operatorState.known:
+	case <-operatorState.configured:
 	case <-ctx.Done():
 	}
 	return operatorState.current.Load()
 }
 
-var _ follower.Listener[catalog.Record] = (*belief)(nil)
+var _ follower.Listener[catalog.Record] = (*operatorState)(nil)
 
 // Replace implements follower.Listener. Evacuations that are not among the values are revoked.
-func (operatorState *belief) Replace(values []follower.Change[catalog.Record]) {
+func (operatorState *operatorState) Replace(values []follower.Change[catalog.Record]) {
 	previous := operatorState.evacuated
 	operatorState.evacuated = make(map[string]string)
-	operatorState.take(values, previous)
+	operatorState.applyChanges(values, previous)
 }
 
 // Apply implements follower.Listener.
-func (operatorState *belief) Apply(changes []follower.Change[catalog.Record]) {
+func (operatorState *operatorState) Apply(changes []follower.Change[catalog.Record]) {
 	previous := maps.Clone(operatorState.evacuated)
-	operatorState.take(changes, previous)
+	operatorState.applyChanges(changes, previous)
 }
 
-// take applies changes of statements; previous has the evacuations in force until now.
+// applyChanges applies changes of statements; previous has the evacuations in force until now.
 // Evacuations are applied before the configuration, so that a VM that serves by a new configuration
 // also applies the evacuations stated with it.
-func (operatorState *belief) take(changes []follower.Change[catalog.Record], previous map[string]string) {
+func (operatorState *operatorState) applyChanges(changes []follower.Change[catalog.Record], previous map[string]string) {
 	for _, change := range changes {
 		switch {
 		case change.Value == nil:
@@ -82,13 +82,13 @@
 	}
 	for _, change := range changes {
 		if change.Value != nil && change.Value.Configuration != nil {
-			operatorState.configure(change.Value.Configuration)
+			operatorState.setConfiguration(change.Value.Configuration)
 		}
 	}
 }
 
-// configure puts a configuration in force if it is newer.
-func (operatorState *belief) configure(next *catalog.Catalog) {
+// setConfiguration puts a configuration in force if it is newer.
+func (operatorState *operatorState) setConfiguration(next *catalog.Catalog) {
 	current := operatorState.current.Load()
 	if current != nil && next.Version() <= current.Version() {
 		return
@@ -96,14 +96,14 @@
 	operatorState.listener.Configure(next.Services())
 	operatorState.current.Store(next)
 	if current == nil {
-		close(operatorState.known)
+		close(operatorState.configured)
 	}
 	operatorState.logger.Info("configuration applied", "version", next.Version(), "routes", len(next.Routes()))
 }
 
 // Lost implements follower.Listener. It does nothing, because the follower itself measures the age
 // of the configuration.
-func (operatorState *belief) Lost() {}
+func (operatorState *operatorState) Lost() {}
 
 // Regained implements follower.Listener. It does nothing, as Lost.
-func (operatorState *belief) Regained() {}
+func (operatorState *operatorState) Regained() {}
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -13,29 +13,29 @@
 
 // The reasons for which the gateway ends a request.
 const (
-	ReasonNone            Reason = ""
-	ReasonBadRequest      Reason = "bad_request"
-	ReasonHeadTooLong     Reason = "head_too_long"
-	ReasonBodyTooLong     Reason = "body_too_long"
-	ReasonBodyNotRead     Reason = "body_not_read"
-	ReasonNoConfiguration Reason = "no_configuration"
-	ReasonStale           Reason = "configuration_too_old"
-	ReasonNoRoute         Reason = "no_route"
-	ReasonKeyMissing      Reason = "key_missing"
-	ReasonKeyUnknown      Reason = "key_unknown"
-	ReasonNoMemory        Reason = "no_memory"
-	ReasonNoServer        Reason = "no_server"
-	ReasonTime            Reason = "time_over"
-	ReasonServerFailed    Reason = "server_failed"
-	ReasonRefused         Reason = "servers_refused"
-	ReasonBusy            Reason = "servers_busy"
-	ReasonResting         Reason = "servers_rest"
-	ReasonLimited         Reason = "servers_limited"
-	ReasonEvacuated       Reason = "servers_evacuated"
-	ReasonNoRegion        Reason = "no_region_allowed"
-	ReasonStopping        Reason = "stopping"
-	ReasonCrashesServers  Reason = "crashes_servers"
-	ReasonCallerGone      Reason = "caller_gone"
+	ReasonNone               Reason = ""
+	ReasonBadRequest         Reason = "bad_request"
+	ReasonHeaderTooLong      Reason = "head_too_long"
+	ReasonBodyTooLong        Reason = "body_too_long"
+	ReasonBodyNotRead        Reason = "body_not_read"
+	ReasonNoConfiguration    Reason = "no_configuration"
+	ReasonStaleConfiguration Reason = "configuration_too_old"
+	ReasonNoRoute            Reason = "no_route"
+	ReasonKeyMissing         Reason = "key_missing"
+	ReasonKeyUnknown         Reason = "key_unknown"
+	ReasonNoMemory           Reason = "no_memory"
+	ReasonNoServer           Reason = "no_server"
+	ReasonDeadlineExceeded   Reason = "time_over"
+	ReasonServerFailed       Reason = "server_failed"
+	ReasonServersRefused     Reason = "servers_refused"
+	ReasonServersBusy        Reason = "servers_busy"
+	ReasonServersBackoff     Reason = "servers_rest"
+	ReasonServersRateLimited Reason = "servers_limited"
+	ReasonServersEvacuated   Reason = "servers_evacuated"
+	ReasonNoAllowedRegion    Reason = "no_region_allowed"
+	ReasonStopping           Reason = "stopping"
+	ReasonCrashesServers     Reason = "crashes_servers"
+	ReasonCallerGone         Reason = "caller_gone"
 )
 
 // detail returns what a caller can do beyond what the status implies, or an empty string.
@@ -55,18 +55,18 @@
 	retryAfter time.Duration
 	// mayHaveRun is true if a server may have executed the request.
 	mayHaveRun bool
-	// answered is true if a response was already written or started.
-	answered bool
-	// broken is true if the response was started and cannot be completed.
-	broken bool
-	server string
+	// responseWritten is true if a response was already written or started.
+	responseWritten bool
+	// truncated is true if the response was started and cannot be completed.
+	truncated bool
+	server    string
 }
 
-// promisesNotRun reports whether a status states to callers that the request was not executed and
+// impliesNotRun reports whether a status states to callers that the request was not executed and
 // never will be. A server makes this statement in a header; a response with such a status but
 // without the header is not forwarded, since the caller might send again a request that was
 // executed.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -82,7 +82,7 @@
 		return outcome{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 	}
 	status := http.StatusBadGateway
-	if reason == ReasonTime {
+	if reason == ReasonDeadlineExceeded {
 		status = http.StatusGatewayTimeout
 	}
 	return outcome{status: status, reason: reason, mayHaveRun: true}
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -11,22 +11,22 @@
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 )
 
-// told handles the messages of other VMs and provides what is sent to them.
-type told struct {
+// peerSink handles the messages of other VMs and provides what is sent to them.
+type peerSink struct {
 	*pool.Pool
 	*coordinator.Coordinator
 
 	quarantine *quarantine.Tracker
 	tails      map[string]*follower.Tail
-	// judges reports whether this VM is one of the coordinators.
-	judges func() bool
-	now    func() time.Time
+	// isCoordinator reports whether this VM is one of the coordinators.
+	isCoordinator func() bool
+	now           func() time.Time
 }
 
-var _ exchange.Sink = told{}
+var _ exchange.Sink = peerSink{}
 
 // Blind implements exchange.Sink. It reports whether the last read of any source failed.
-func (peerSink told) Blind() bool {
+func (peerSink peerSink) Blind() bool {
 	for _, tail := range peerSink.tails {
 		if tail.Lost() {
 			return true
@@ -37,7 +37,7 @@
 
 // Own implements exchange.Sink. It returns this VM's requests at servers, those whose server
 // connection was lost recently, and the rate limits of servers.
-func (peerSink told) Own() []pool.Report {
+func (peerSink peerSink) Own() []pool.Report {
 	reports := peerSink.Pool.OwnReports()
 	for _, loss := range peerSink.quarantine.RecentLosses() {
 		reports = append(reports, pool.Report{
@@ -45,21 +45,21 @@
 			Fingerprint: loss.Fingerprint, Age: peerSink.now().Sub(loss.At),
 		})
 	}
-	return append(reports, peerSink.OwnLimitReports(peerSink.judges())...)
+	return append(reports, peerSink.OwnLimitReports(peerSink.isCoordinator())...)
 }
 
 // HandleReports implements exchange.Sink. It applies the reports of another VM.
-func (peerSink told) HandleReports(vm string, reports []pool.Report) {
+func (peerSink peerSink) HandleReports(vm string, reports []pool.Report) {
 	peerSink.Pool.HandleReports(vm, reports)
 	for _, report := range reports {
 		if report.Fingerprint != fingerprint.None {
-			peerSink.noteRequest(report)
+			peerSink.recordRequest(report)
 		}
 	}
 }
 
-// noteRequest records how a request of another VM ended.
-func (peerSink told) noteRequest(report pool.Report) {
+// recordRequest records how a request of another VM ended.
+func (peerSink peerSink) recordRequest(report pool.Report) {
 	switch report.Health {
 	case pool.HealthSucceeded:
 		peerSink.quarantine.RecordCompletion(report.Fingerprint, report.Server)
@@ -81,11 +81,11 @@
 }
 
 // Quarantined implements exchange.Sink. It returns the quarantined requests to send to other VMs.
-func (peerSink told) Quarantined() []quarantine.Entry {
+func (peerSink peerSink) Quarantined() []quarantine.Entry {
 	return peerSink.quarantine.PublishableEntries()
 }
 
 // HandleQuarantined implements exchange.Sink. It applies the quarantined requests of another VM.
-func (peerSink told) HandleQuarantined(entries []quarantine.Entry) {
+func (peerSink peerSink) HandleQuarantined(entries []quarantine.Entry) {
 	peerSink.quarantine.ApplyEntries(entries)
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -11,28 +11,28 @@
 
 // place waits for servers with capacity and claims it. It reports false when ctx ended
 // first or the request is rejected.
-func (forwarder *run) place(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
+func (forwarder *forwarder) place(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	startedAt := forwarder.gateway.now()
-	plan, use, placed := forwarder.placeElsewhere(ctx)
+	plan, use, placed := forwarder.placeByCoordinator(ctx)
 	now := forwarder.gateway.now()
 	if !placed {
-		forwarder.account.waited += now.Sub(startedAt)
-		forwarder.gateway.logger.Info("no server available for the request", "request_id", forwarder.head.ID, "tried", forwarder.tried,
-			"waited", now.Sub(startedAt), "held_enough", forwarder.heldEnough())
+		forwarder.timings.waited += now.Sub(startedAt)
+		forwarder.gateway.logger.Info("no server available for the request", "request_id", forwarder.head.ID, "tried", forwarder.triedServers,
+			"waited", now.Sub(startedAt), "held_enough", forwarder.queueTimeExpired())
 		return placement.Plan{}, nil, false
 	}
-	forwarder.account.place(now.Sub(startedAt), now.Sub(forwarder.arrived), plan.PredictedTTFT)
+	forwarder.timings.place(now.Sub(startedAt), now.Sub(forwarder.arrivedAt), plan.PredictedTTFT)
 	forwarder.logPlan(plan, now.Sub(startedAt))
 	return plan, use, true
 }
 
-// look places the request by the state of this VM alone and claims capacity at the chosen
+// placeLocally places the request by the state of this VM alone and claims capacity at the chosen
 // servers. It reports false if no server has capacity.
-func (forwarder *run) look() (placement.Plan, *pool.ActiveRequest, bool) {
+func (forwarder *forwarder) placeLocally() (placement.Plan, *pool.ActiveRequest, bool) {
 	gateway := forwarder.gateway
-	servers := placement.InDataCentres(gateway.open(forwarder.service, forwarder.tried), forwarder.keptTo)
+	servers := placement.InDataCentres(gateway.availableServers(forwarder.service, forwarder.triedServers), forwarder.allowedDataCentres)
 	if len(servers) == 0 {
-		forwarder.tried = nil // every server failed once, so all are eligible again
+		forwarder.triedServers = nil // every server failed once, so all are eligible again
 	}
 	request := forwarder.placementRequest()
 	plan, ok := gateway.policy.Place(servers, request)
@@ -43,10 +43,10 @@
 	return plan, use, claimed
 }
 
-// waitForRoom waits until server capacity may have changed, at most for the interval of the
+// waitForCapacity waits until server capacity may have changed, at most for the interval of the
 // settings. It reports false when ctx ended.
-func (forwarder *run) waitForRoom(ctx context.Context, changed <-chan struct{}) bool {
-	timer := time.NewTimer(forwarder.gateway.settings.Request.Look)
+func (forwarder *forwarder) waitForCapacity(ctx context.Context, changed <-chan struct{}) bool {
+	timer := time.NewTimer(forwarder.gateway.settings.Request.PlacementInterval)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -56,16 +56,16 @@
 	return ctx.Err() == nil
 }
 
-// heldEnough reports whether a request that no server has received has been queued for as
+// queueTimeExpired reports whether a request that no server has received has been queued for as
 // long as allowed. It is then rejected, so that the caller has time left to retry and the queue is
 // freed for others.
-func (forwarder *run) heldEnough() bool {
-	return forwarder.sends == 0 && forwarder.gateway.now().After(forwarder.heldUntil())
+func (forwarder *forwarder) queueTimeExpired() bool {
+	return forwarder.sends == 0 && forwarder.gateway.now().After(forwarder.queueDeadline())
 }
 
-// open returns the servers that may get a request, with this VM's connections to them.
+// availableServers returns the servers that may get a request, with this VM's connections to them.
 // It excludes servers that were tried and servers that requested backoff from this VM.
-func (gateway *Gateway) open(service *catalog.Service, tried []string) []placement.Server {
+func (gateway *Gateway) availableServers(service *catalog.Service, tried []string) []placement.Server {
 	servers := placement.WithoutIDs(gateway.pool.Eligible(service, tried), gateway.pool.BackoffServers(gateway.site.VM))
 	for i := range servers {
 		servers[i].Connected = gateway.upstream.Kept(servers[i].Address)
@@ -73,26 +73,26 @@
 	return servers
 }
 
-func (forwarder *run) logPlan(plan placement.Plan, waited time.Duration) {
+func (forwarder *forwarder) logPlan(plan placement.Plan, waited time.Duration) {
 	helpers := make([]string, 0, len(plan.Helpers))
 	for _, helper := range plan.Helpers {
 		helpers = append(helpers, helper.ID)
 	}
 	forwarder.gateway.logger.Info("placed", "request_id", forwarder.head.ID, "send", forwarder.sends, "route", forwarder.route.Name,
-		"tokens", forwarder.tokens(), "server", plan.Server.ID, "helpers", helpers, "reason", plan.Reason,
+		"tokens", forwarder.promptTokens(), "server", plan.Server.ID, "helpers", helpers, "reason", plan.Reason,
 		"predicted", plan.PredictedTTFT, "part", plan.PrefillPerServer, "backlog", plan.Server.Backlog,
 		"running", plan.Server.Running, "tight", plan.Server.Packable, "memory_free", plan.Server.MemoryFree,
 		"waited", waited)
 }
 
 // placementRequest returns the request in the form that placement policies evaluate.
-func (forwarder *run) placementRequest() placement.Request {
+func (forwarder *forwarder) placementRequest() placement.Request {
 	request := placement.Request{
 		DataCentre:                  forwarder.gateway.site.DataCentre,
 		InterTokenObjective:         forwarder.route.Gap,
 		ShortestInterTokenObjective: forwarder.service.ShortestGap,
 		Objective:                   forwarder.route.Objective,
-		TimeToCallerDeadline:        forwarder.leaves().Sub(forwarder.gateway.now()),
+		TimeToCallerDeadline:        forwarder.callerLeavesAt().Sub(forwarder.gateway.now()),
 		Seed:                        forwarder.seed + uint64(forwarder.sends), //nolint:gosec // never negative
 	}
 	if forwarder.head.Prompt != nil {
@@ -100,12 +100,12 @@
 		request.Tokens = forwarder.head.Prompt.Tokens
 		request.Memory = forwarder.head.Prompt.Tokens + forwarder.head.Prompt.MaxTokens
 	}
-	request.TimeToObjective = forwarder.due(request.Packable()).Sub(forwarder.gateway.now())
+	request.TimeToObjective = forwarder.nextEventDeadline(request.Packable()).Sub(forwarder.gateway.now())
 	return request
 }
 
-// tokens returns the length of the prompt in tokens, or zero without a prompt.
-func (admitted *admitted) tokens() int {
+// promptTokens returns the length of the prompt in tokens, or zero without a prompt.
+func (admitted *admitted) promptTokens() int {
 	if admitted.head.Prompt == nil {
 		return 0
 	}
@@ -115,35 +115,35 @@
 // Callers abandon a stream after the longest of these three times without an event, as the users
 // state it: a minimum, a multiple of the objective and a multiple of the inter-event objective.
 const (
-	staysMin            = 2 * time.Second
-	staysObjectiveTimes = 4
-	staysGapTimes       = 8
+	callerTimeoutMin        = 2 * time.Second
+	callerTimeoutObjectives = 4
+	callerTimeoutGaps       = 8
 )
 
-// due returns the deadline of the next event: the first event is due within the
+// nextEventDeadline returns the deadline of the next event: the first event is due within the
 // objective, and each further one within the inter-event objective after the one before it. An
 // interrupted stream therefore takes precedence over new requests while its next event can still be
 // in time, and yields to them afterwards. The objective of a tight request counts from its caller's
 // first try. For other requests it counts from the current try: they are few, and with a lower
 // precedence they would get no servers until the next fault.
-func (forwarder *run) due(tight bool) time.Time {
+func (forwarder *forwarder) nextEventDeadline(tight bool) time.Time {
 	switch {
-	case !forwarder.account.last.IsZero():
-		return forwarder.account.last.Add(forwarder.route.Gap)
+	case !forwarder.timings.lastEventAt.IsZero():
+		return forwarder.timings.lastEventAt.Add(forwarder.route.Gap)
 	case tight:
-		return forwarder.since.Add(forwarder.route.Objective)
+		return forwarder.firstTriedAt.Add(forwarder.route.Objective)
 	default:
-		return forwarder.arrived.Add(forwarder.route.Objective)
+		return forwarder.arrivedAt.Add(forwarder.route.Objective)
 	}
 }
 
-// leaves returns when the caller disconnects unless it receives an event before.
-func (forwarder *run) leaves() time.Time {
-	since := forwarder.arrived
-	if !forwarder.account.last.IsZero() {
-		since = forwarder.account.last
+// callerLeavesAt returns when the caller disconnects unless it receives an event before.
+func (forwarder *forwarder) callerLeavesAt() time.Time {
+	since := forwarder.arrivedAt
+	if !forwarder.timings.lastEventAt.IsZero() {
+		since = forwarder.timings.lastEventAt
 	}
-	until := since.Add(max(staysMin, staysObjectiveTimes*forwarder.route.Objective, staysGapTimes*forwarder.route.Gap))
+	until := since.Add(max(callerTimeoutMin, callerTimeoutObjectives*forwarder.route.Objective, callerTimeoutGaps*forwarder.route.Gap))
 	if forwarder.deadline.Before(until) {
 		return forwarder.deadline
 	}
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// keysFresh reports whether the configuration is recent enough to serve a request with a key,
+// keysCurrent reports whether the configuration is recent enough to serve a request with a key,
 // which may have been revoked since. It always is unless Bounds.RevokeFailClosed is set.
-func (gateway *Gateway) keysFresh() bool {
+func (gateway *Gateway) keysCurrent() bool {
 	if !gateway.bounds.Load().RevokeFailClosed {
 		return true
 	}
@@ -17,14 +17,14 @@
 
 // ready reports whether the load balancer should open new connections to this VM.
 func (gateway *Gateway) ready() bool {
-	if gateway.stopping.Load() || gateway.belief.current.Load() == nil {
+	if gateway.stopping.Load() || gateway.operatorState.current.Load() == nil {
 		return false
 	}
 	if _, known := gateway.directory.Age(); !known {
 		return false
 	}
 	age, known := gateway.configuration.Age()
-	fresh := time.Duration(freshPart * float64(gateway.bounds.Load().Revoke))
+	fresh := time.Duration(readyAgeFraction * float64(gateway.bounds.Load().Revoke))
 	return known && (!gateway.bounds.Load().RevokeFailClosed || age < fresh)
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -14,93 +14,93 @@
 
 // relay forwards whole events until the stream ends. When the stream breaks off, lastEvent
 // identifies what was forwarded, and another server may resume it.
-func (forwarder *run) relay(ctx context.Context, activeAttempt *attempted) result {
+func (forwarder *forwarder) relay(ctx context.Context, activeAttempt *activeAttempt) result {
 	reader := events.NewReader(activeAttempt.response)
-	streamTimeout := forwarder.gateway.settings.Request.silence(forwarder.route.Gap)
+	streamTimeout := forwarder.gateway.settings.Request.streamTimeout(forwarder.route.Gap)
 	first := true
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			return forwarder.relayed(activeAttempt)
+			return forwarder.finishStream(activeAttempt)
 		}
 		if err != nil {
-			return forwarder.cut(ctx, err, !first, activeAttempt.stalled)
+			return forwarder.streamErrorResult(ctx, err, !first, activeAttempt.callerStalled)
 		}
 		if first {
 			first = false
-			forwarder.hasEvents.Store(true)
+			forwarder.receivedEvent.Store(true)
 			activeAttempt.use.FinishPrefill()
-			forwarder.observeFirst(activeAttempt)
+			forwarder.recordFirstEvent(activeAttempt)
 		}
 		activeAttempt.use.RecordEvent()
-		if !follows(event.ID, forwarder.lastEvent) {
-			activeAttempt.expect(streamTimeout)
+		if !isNewEvent(event.ID, forwarder.lastEvent) {
+			activeAttempt.restartWatchdog(streamTimeout)
 			continue
 		}
 		// The server is not read while the caller is not reading, so its silence must not count
 		// against it.
-		activeAttempt.rest()
-		if err := forwarder.pass(activeAttempt, event); err != nil {
-			return result{kind: resultBroken, err: errors.Wrap(err, "write to the caller")}
+		activeAttempt.stopWatchdog()
+		if err := forwarder.passEvent(activeAttempt, event); err != nil {
+			return result{kind: resultTruncated, err: errors.Wrap(err, "write to the caller")}
 		}
-		activeAttempt.expect(streamTimeout)
+		activeAttempt.restartWatchdog(streamTimeout)
 	}
 }
 
-// observeFirst records the time to the first event of an attempt.
-func (forwarder *run) observeFirst(activeAttempt *attempted) {
+// recordFirstEvent records the time to the first event of an attempt.
+func (forwarder *forwarder) recordFirstEvent(activeAttempt *activeAttempt) {
 	gateway := forwarder.gateway
-	elapsed := gateway.now().Sub(forwarder.arrived)
+	elapsed := gateway.now().Sub(forwarder.arrivedAt)
 	gateway.metrics.firstEvent.WithLabelValues(forwarder.route.Name).Observe(elapsed.Seconds())
 	gateway.logger.Info("first event", "request_id", forwarder.head.ID, "server", activeAttempt.plan.Server.ID,
 		"took", elapsed, "predicted", activeAttempt.plan.PredictedTTFT)
 }
 
-// cut returns the result of a stream that broke off. receivedEvent is true if the
+// streamErrorResult returns the result of a stream that broke off. receivedEvent is true if the
 // stream had an event. callerStalled is true if the caller had stopped reading, in which case the
 // server may have closed the stream for that reason.
-func (forwarder *run) cut(ctx context.Context, err error, receivedEvent, callerStalled bool) result {
+func (forwarder *forwarder) streamErrorResult(ctx context.Context, err error, receivedEvent, callerStalled bool) result {
 	cause := context.Cause(ctx)
 	if cause != nil {
 		err = errors.CombineErrors(cause, err)
 	}
 	return result{
-		kind: resultUncertain, status: http.StatusOK, lost: cause == nil && !callerStalled, ran: receivedEvent, excused: callerStalled,
+		kind: resultUncertain, status: http.StatusOK, connectionLost: cause == nil && !callerStalled, receivedEvent: receivedEvent, serverNotAtFault: callerStalled,
 		err: errors.Wrap(err, "read the server's stream"),
 	}
 }
 
-// relayed completes the response. It writes the header if the stream had no events.
-func (forwarder *run) relayed(activeAttempt *attempted) result {
-	forwarder.begin(activeAttempt)
+// finishStream completes the response. It writes the header if the stream had no events.
+func (forwarder *forwarder) finishStream(activeAttempt *activeAttempt) result {
+	forwarder.startResponse(activeAttempt)
 	return result{kind: resultAnswered, status: http.StatusOK}
 }
 
-// begin writes the header of the first server's response. It does nothing if a header was
+// startResponse writes the header of the first server's response. It does nothing if a header was
 // already written.
-func (forwarder *run) begin(activeAttempt *attempted) {
-	if forwarder.begun {
+func (forwarder *forwarder) startResponse(activeAttempt *activeAttempt) {
+	if forwarder.responseStarted {
 		return
 	}
-	forwarder.begun = true
+	forwarder.responseStarted = true
 	forwarder.copyHeader(activeAttempt.response.Header)
 	forwarder.writer.WriteHeader(activeAttempt.response.Status)
 }
 
 const (
-	// slowPass is the duration of a write above which the caller delayed the reading of
+	// slowWriteThreshold is the duration of a write above which the caller delayed the reading of
 	// the server's stream.
-	slowPass = 20 * time.Millisecond
-	// stalledPass is the duration of a write above which the server may abort the stream
+	slowWriteThreshold = 20 * time.Millisecond
+	// stalledWriteThreshold is the duration of a write above which the server may abort the stream
 	// because it was not read.
-	stalledPass = time.Second
+	stalledWriteThreshold = time.Second
 )
 
-// pass writes one event to the caller and flushes it.
-func (forwarder *run) pass(activeAttempt *attempted, event events.Event) error {
+// passEvent writes one event to the caller and flushes it.
+func (forwarder *forwarder) passEvent(activeAttempt *activeAttempt, event events.Event) error {
 	startedAt := forwarder.gateway.now()
-	forwarder.boundWrite()
-	forwarder.begin(activeAttempt)
+	forwarder.setWriteDeadline()
+	forwarder.startResponse(activeAttempt)
 	if _, err := forwarder.writer.Write(event.Raw); err != nil {
 		return errors.WithStack(err)
 	}
@@ -111,18 +111,18 @@
 		forwarder.lastEvent = event.ID
 	}
 	now := forwarder.gateway.now()
-	if now.Sub(startedAt) > slowPass {
+	if now.Sub(startedAt) > slowWriteThreshold {
 		activeAttempt.use.ResetEventTimer()
 	}
-	activeAttempt.stalled = activeAttempt.stalled || now.Sub(startedAt) > stalledPass
-	forwarder.account.pass(forwarder.arrived, now)
+	activeAttempt.callerStalled = activeAttempt.callerStalled || now.Sub(startedAt) > stalledWriteThreshold
+	forwarder.timings.passEvent(forwarder.arrivedAt, now)
 	forwarder.gateway.metrics.eventDelay.Observe(now.Sub(startedAt).Seconds())
 	return nil
 }
 
-// follows reports whether an event comes after the last one that the caller received. IDs
+// isNewEvent reports whether an event comes after the last one that the caller received. IDs
 // increase; an ID that is not a number is always taken as new.
-func follows(id, last string) bool {
+func isNewEvent(id, last string) bool {
 	number, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return true
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -20,9 +20,9 @@
 	return budget
 }
 
-// shareBudgets updates the limits of the retry budgets to the current number of VMs and the
+// updateRetryLimits updates the limits of the retry budgets to the current number of VMs and the
 // bounds in force.
-func (gateway *Gateway) shareBudgets() {
+func (gateway *Gateway) updateRetryLimits() {
 	gateway.budgetMu.Lock()
 	defer gateway.budgetMu.Unlock()
 	limits := gateway.retryLimits()
@@ -31,85 +31,85 @@
 	}
 }
 
-// burstPart is the fraction of a VM's share of the slack that it may spend at once; the
+// burstFraction is the fraction of a VM's share of the slack that it may spend at once; the
 // remainder is refilled evenly over the window. A server crash interrupts many streams at once, so
 // most of the slack is available at once for that case.
-const burstPart = 0.7
+const burstFraction = 0.7
 
 // retryLimits returns this VM's share of the retry budget of all VMs. The slack is divided by the
 // number of all VMs ever observed, since one whose heartbeats are missing may still be serving.
 func (gateway *Gateway) retryLimits() retrybudget.Limits {
-	return gateway.retryLimitsOf(1 / float64(gateway.exchange.KnownCount()))
+	return gateway.retryLimitsForShare(1 / float64(gateway.exchange.KnownCount()))
 }
 
-// retryLimitsOf returns the limits for a fraction of the retry budget of all VMs.
-func (gateway *Gateway) retryLimitsOf(fraction float64) retrybudget.Limits {
+// retryLimitsForShare returns the limits for a fraction of the retry budget of all VMs.
+func (gateway *Gateway) retryLimitsForShare(fraction float64) retrybudget.Limits {
 	bounds := gateway.bounds.Load()
-	usable := gateway.settings.Request.RetryPart
+	usable := gateway.settings.Request.RetryBudgetFraction
 	return retrybudget.Limits{
 		Ratio:  usable * bounds.RetryRatio,
-		Burst:  burstPart * usable * bounds.RetrySlack * fraction,
-		Refill: time.Duration(burstPart / (1 - burstPart) * float64(bounds.RetryWindow)),
+		Burst:  burstFraction * usable * bounds.RetrySlack * fraction,
+		Refill: time.Duration(burstFraction / (1 - burstFraction) * float64(bounds.RetryWindow)),
 	}
 }
 
-// retriesGranted reports whether retries need a grant of the coordinator. That is so when
+// coordinatorGrantsRetries reports whether retries need a grant of the coordinator. That is so when
 // one VM's share of the slack is less than one retry, so that no VM could ever retry on its own.
-func (gateway *Gateway) retriesGranted() bool {
+func (gateway *Gateway) coordinatorGrantsRetries() bool {
 	return gateway.retryLimits().Burst < 1
 }
 
 // mayRetry reports whether a request that was sent to a server before may be sent to another one.
-func (forwarder *run) mayRetry(budget *retrybudget.Budget) bool {
-	if forwarder.gateway.retriesGranted() {
-		return forwarder.granted
+func (forwarder *forwarder) mayRetry(budget *retrybudget.Budget) bool {
+	if forwarder.gateway.coordinatorGrantsRetries() {
+		return forwarder.retryGranted
 	}
 	return budget.Spend()
 }
 
-// commonRetries are the retry budgets of all VMs, used while this VM is the coordinator. It is safe
+// sharedRetries are the retry budgets of all VMs, used while this VM is the coordinator. It is safe
 // for concurrent use.
-type commonRetries struct {
+type sharedRetries struct {
 	gateway *Gateway
 
 	mu sync.Mutex
 	// budgets has the retry budget of each service by its name.
-	budgets map[string]*commonBudget
+	budgets map[string]*sharedBudget
 }
 
-// commonBudget is the retry budget of one service.
-type commonBudget struct {
+// sharedBudget is the retry budget of one service.
+type sharedBudget struct {
 	budget *retrybudget.Budget
-	// asked is when the budget was last used.
-	asked time.Time
+	// lastUsed is when the budget was last used.
+	lastUsed time.Time
 }
 
-var _ coordinator.RetryBudget = (*commonRetries)(nil)
+var _ coordinator.RetryBudget = (*sharedRetries)(nil)
 
 // Earn implements coordinator.RetryBudget.
-func (sharedretries *commonRetries) Earn(service string) {
-	sharedretries.of(service).Earn()
+func (sharedretries *sharedRetries) Earn(service string) {
+	sharedretries.budgetOf(service).Earn()
 }
 
 // Spend implements coordinator.RetryBudget.
-func (sharedretries *commonRetries) Spend(service string) bool {
-	return sharedretries.of(service).Spend()
+func (sharedretries *sharedRetries) Spend(service string) bool {
+	return sharedretries.budgetOf(service).Spend()
 }
 
-// of returns the retry budget of a service. A VM that becomes coordinator starts with an
+// budgetOf returns the retry budget of a service. A VM that becomes coordinator starts with an
 // empty budget, because the previous coordinator may have just granted all retries.
-func (sharedretries *commonRetries) of(service string) *retrybudget.Budget {
+func (sharedretries *sharedRetries) budgetOf(service string) *retrybudget.Budget {
 	sharedretries.mu.Lock()
 	defer sharedretries.mu.Unlock()
 	gateway := sharedretries.gateway
 	now := gateway.now()
-	limits := gateway.retryLimitsOf(gateway.exchange.Share())
+	limits := gateway.retryLimitsForShare(gateway.exchange.Share())
 	shared := sharedretries.budgets[service]
-	if shared == nil || now.Sub(shared.asked) > gateway.bounds.Load().RetryWindow {
-		shared = &commonBudget{budget: retrybudget.NewEmpty(limits, gateway.now)}
+	if shared == nil || now.Sub(shared.lastUsed) > gateway.bounds.Load().RetryWindow {
+		shared = &sharedBudget{budget: retrybudget.NewEmpty(limits, gateway.now)}
 		sharedretries.budgets[service] = shared
 	}
-	shared.asked = now
+	shared.lastUsed = now
 	shared.budget.SetLimits(limits)
 	return shared.budget
 }
--- a/internal/gateway/returns_internal_test.go
+++ b/internal/gateway/returns_internal_test.go
@@ -36,13 +36,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			returns := newReturns(func() time.Time { return now })
+			returns := newRetryDetector(func() time.Time { return now })
 			var got time.Duration
 			for _, timeLeft := range test.timeLeft {
-				got = now.Sub(returns.since("chat", routeTimeout, timeLeft))
+				got = now.Sub(returns.firstTriedAt("chat", routeTimeout, timeLeft))
 				now = now.Add(time.Second)
 			}
-			assert.Assert(t, (got-test.want).Abs() < returnsSame, "%s", got)
+			assert.Assert(t, (got-test.want).Abs() < timeLeftTolerance, "%s", got)
 		})
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -18,42 +18,42 @@
 func (gateway *Gateway) serve(writer http.ResponseWriter, incoming *http.Request) {
 	gateway.clock.Sync() // without it, stale state would seem fresh right after a suspension
 	arrivedAt := gateway.now()
-	gateway.running.Add(1)
-	defer gateway.running.Add(-1)
+	gateway.inFlight.Add(1)
+	defer gateway.inFlight.Add(-1)
 	if gateway.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
 	admitted, refused, detail := gateway.admit(incoming, arrivedAt)
 	if refused.status != 0 {
 		gateway.writeOutcome(writer, admitted.head.ID, refused, detail)
-		gateway.ended(admitted, refused, &run{})
+		gateway.recordEnd(admitted, refused, &forwarder{})
 		return
 	}
 	body, release, refused := gateway.readBody(writer, incoming, admitted)
 	defer release()
 	if refused.status != 0 {
 		gateway.writeOutcome(writer, admitted.head.ID, refused, "")
-		gateway.ended(admitted, refused, &run{})
+		gateway.recordEnd(admitted, refused, &forwarder{})
 		return
 	}
-	ctx, cancel := gateway.bound(incoming.Context(), admitted.deadline)
+	ctx, cancel := gateway.requestContext(incoming.Context(), admitted.deadline)
 	defer cancel()
-	forwarder := newRun(gateway, admitted, body, writer)
-	outcome := forwarder.execute(ctx)
-	if !outcome.answered && outcome.reason != ReasonCallerGone {
+	forwarder := newForwarder(gateway, admitted, body, writer)
+	outcome := forwarder.forward(ctx)
+	if !outcome.responseWritten && outcome.reason != ReasonCallerGone {
 		gateway.writeOutcome(writer, admitted.head.ID, outcome, outcome.reason.detail())
 	}
-	gateway.ended(admitted, outcome, forwarder)
-	if outcome.broken {
+	gateway.recordEnd(admitted, outcome, forwarder)
+	if outcome.truncated {
 		panic(http.ErrAbortHandler) // makes net/http abort the connection, so that the caller sees the response as incomplete
 	}
 }
 
-// bound returns the context of a request. It ends when the caller disconnects, at the
+// requestContext returns the context of a request. It ends when the caller disconnects, at the
 // deadline, or when the process must abort requests; context.Cause distinguishes these.
-func (gateway *Gateway) bound(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+func (gateway *Gateway) requestContext(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	cancellable, cancel := context.WithCancelCause(parent)
-	stop := context.AfterFunc(gateway.life, func() { cancel(errStopping) })
+	stop := context.AfterFunc(gateway.baseContext, func() { cancel(errStopping) })
 	ctx, end := gateway.clock.WithDeadline(cancellable, deadline)
 	return ctx, func() {
 		stop()
@@ -71,13 +71,13 @@
 	service  *catalog.Service
 	// organisation is nil for a request without a key.
 	organisation *catalog.Organisation
-	// keptTo has the names of the data centres whose servers may process the request,
+	// allowedDataCentres has the names of the data centres whose servers may process the request,
 	// sorted; it is empty when all may.
-	keptTo  []string
-	arrived time.Time
-	// since is the estimated time of the caller's first try, which is earlier than arrivedAt
+	allowedDataCentres []string
+	arrivedAt          time.Time
+	// firstTriedAt is the estimated time of the caller's first try, which is earlier than arrivedAt
 	// for a retry.
-	since time.Time
+	firstTriedAt time.Time
 	// deadline is when the gateway must have responded.
 	deadline time.Time
 	// callerDeadline is when the caller stops waiting.
@@ -87,20 +87,20 @@
 // admit checks the header of a request against the configuration in force. An outcome with a
 // non-zero status refuses the request; the string is the detail for the error body.
 func (gateway *Gateway) admit(incoming *http.Request, arrivedAt time.Time) (*admitted, outcome, string) {
-	request := &admitted{incoming: incoming, arrived: arrivedAt}
+	request := &admitted{incoming: incoming, arrivedAt: arrivedAt}
 	head, err := gateway.codec.Head(incoming)
 	request.head = head
-	if gateway.closing.Load() {
+	if gateway.refusing.Load() {
 		return request, failure(ReasonStopping, false, gateway.retryAfter()), ""
 	}
-	untilStarted := gateway.started.Add(gateway.settings.Request.StartHold).Sub(arrivedAt)
+	untilStarted := gateway.started.Add(gateway.settings.Request.StartupWait).Sub(arrivedAt)
 	current := gateway.awaitConfiguration(incoming.Context(), untilStarted)
 	if current == nil {
 		return request, failure(ReasonNoConfiguration, false, gateway.storeRetryAfter()), ""
 	}
 	request.catalog = current
-	if headBytes(incoming) > current.Limits().MaxHeaderBytes && current.Limits().MaxHeaderBytes > 0 {
-		return request, refusal(http.StatusRequestHeaderFieldsTooLarge, ReasonHeadTooLong), ""
+	if approximateHeaderBytes(incoming) > current.Limits().MaxHeaderBytes && current.Limits().MaxHeaderBytes > 0 {
+		return request, refusal(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLong), ""
 	}
 	var field *call.FieldError
 	if errors.As(err, &field) {
@@ -115,7 +115,7 @@
 		return request, refusal(http.StatusNotFound, ReasonNoRoute), ""
 	}
 	request.route = route
-	if refused := gateway.admitKey(request); refused.status != 0 {
+	if refused := gateway.authenticate(request); refused.status != 0 {
 		return request, refused, ""
 	}
 	service, found := current.Service(route.Target(randomFraction()))
@@ -123,11 +123,11 @@
 		return request, failure(ReasonNoServer, false, gateway.retryAfter()), "service not configured"
 	}
 	request.service = service
-	if !request.keep(gateway.site.Regions) {
-		return request, failure(ReasonNoRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in all that are allowed"
+	if !request.restrictDataCentres(gateway.site.Regions) {
+		return request, failure(ReasonNoAllowedRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in all that are allowed"
 	}
-	request.setDeadlines(gateway.settings.Request.Margin)
-	request.since = gateway.returns.since(route.Name, route.Timeout, request.callerDeadline.Sub(arrivedAt))
+	request.setDeadlines(gateway.settings.Request.DeadlineMargin)
+	request.firstTriedAt = gateway.retryDetector.firstTriedAt(route.Name, route.Timeout, request.callerDeadline.Sub(arrivedAt))
 	return request, outcome{}, ""
 }
 
@@ -137,11 +137,11 @@
 // refused as if it were too old.
 func (gateway *Gateway) awaitConfiguration(ctx context.Context, longest time.Duration) *catalog.Catalog {
 	if longest <= 0 {
-		return gateway.belief.current.Load()
+		return gateway.operatorState.current.Load()
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	current := gateway.belief.await(waitCtx)
+	current := gateway.operatorState.await(waitCtx)
 	if current == nil {
 		return nil
 	}
@@ -152,9 +152,9 @@
 	return current
 }
 
-// admitKey sets the organisation of a request from its key. An outcome with a non-zero status
+// authenticate sets the organisation of a request from its key. An outcome with a non-zero status
 // refuses the request.
-func (gateway *Gateway) admitKey(request *admitted) outcome {
+func (gateway *Gateway) authenticate(request *admitted) outcome {
 	if !request.catalog.HasOrganisations() {
 		return outcome{}
 	}
@@ -165,8 +165,8 @@
 	if key == "" {
 		return refusal(http.StatusUnauthorized, ReasonKeyMissing)
 	}
-	if !gateway.keysFresh() {
-		return failure(ReasonStale, false, gateway.retryAfter())
+	if !gateway.keysCurrent() {
+		return failure(ReasonStaleConfiguration, false, gateway.retryAfter())
 	}
 	organisation, found := request.catalog.Organisation(key)
 	if !found && !request.route.Anonymous {
@@ -188,16 +188,16 @@
 // setDeadlines sets both deadlines from the route's timeout and the time that the caller states.
 func (admitted *admitted) setDeadlines(margin time.Duration) {
 	limit := admitted.route.Timeout
-	admitted.callerDeadline = admitted.arrived.Add(limit)
+	admitted.callerDeadline = admitted.arrivedAt.Add(limit)
 	if admitted.head.Time > 0 {
-		admitted.callerDeadline = admitted.arrived.Add(admitted.head.Time)
+		admitted.callerDeadline = admitted.arrivedAt.Add(admitted.head.Time)
 		limit = min(limit, admitted.head.Time)
 	}
-	admitted.deadline = admitted.arrived.Add(limit - margin)
+	admitted.deadline = admitted.arrivedAt.Add(limit - margin)
 }
 
-// headBytes returns the approximate size of a request's header in bytes.
-func headBytes(incoming *http.Request) int {
+// approximateHeaderBytes returns the approximate size of a request's header in bytes.
+func approximateHeaderBytes(incoming *http.Request) int {
 	const perLine = 4 // colon, space and line end, in bytes
 	count := len(incoming.Method) + len(incoming.RequestURI) + len(incoming.Host) + perLine
 	for name, values := range incoming.Header {
@@ -220,12 +220,12 @@
 		return nil, noRelease, refusal(http.StatusRequestEntityTooLarge, ReasonBodyTooLong)
 	case incoming.Body == nil || incoming.Body == http.NoBody:
 		return nil, noRelease, outcome{}
-	case !gateway.bodies.fits(max(0, incoming.ContentLength)):
+	case !gateway.bodyMemory.fits(max(0, incoming.ContentLength)):
 		return nil, noRelease, failure(ReasonNoMemory, false, gateway.retryAfter())
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(gateway.clock.ForTimers(admitted.deadline)) // on a closed connection the read fails
-	reader := &metered{Reader: http.MaxBytesReader(writer, incoming.Body, limit), memory: &gateway.bodies}
+	reader := &meteredReader{Reader: http.MaxBytesReader(writer, incoming.Body, limit), memoryLimit: &gateway.bodyMemory}
 	body, err := io.ReadAll(reader)
 	_ = controller.SetReadDeadline(time.Time{}) // a closed connection needs no deadline
 	var tooLong *http.MaxBytesError
@@ -234,7 +234,7 @@
 		return body, reader.release, outcome{}
 	case errors.As(err, &tooLong):
 		return nil, reader.release, refusal(http.StatusRequestEntityTooLarge, ReasonBodyTooLong)
-	case errors.Is(err, errNoMemory):
+	case errors.Is(err, errBodyMemoryLimit):
 		return nil, reader.release, failure(ReasonNoMemory, false, gateway.retryAfter())
 	default:
 		gateway.logger.Info("reading the request body failed", "request_id", admitted.head.ID, "error", err)
@@ -242,10 +242,10 @@
 	}
 }
 
-// ended logs and counts the end of a request. The forwarder is empty for a request that was
+// recordEnd logs and counts the end of a request. The forwarder is empty for a request that was
 // refused before it was executed.
-func (gateway *Gateway) ended(admitted *admitted, outcome outcome, forwarder *run) {
-	duration := gateway.now().Sub(admitted.arrived)
+func (gateway *Gateway) recordEnd(admitted *admitted, outcome outcome, forwarder *forwarder) {
+	duration := gateway.now().Sub(admitted.arrivedAt)
 	route, version := &catalog.Route{}, int64(0)
 	if admitted.route != nil {
 		route = admitted.route
@@ -254,13 +254,13 @@
 		version = admitted.catalog.Version()
 	}
 	age, _ := gateway.configuration.Age()
-	gateway.metrics.ended(route.Name, string(route.Kind), outcome, duration)
+	gateway.metrics.recordEnd(route.Name, string(route.Kind), outcome, duration)
 	gateway.logger.Info("ended", "request_id", admitted.head.ID, "route", route.Name, "kind", route.Kind,
 		"organisation", admitted.organisationName(),
 		"fingerprint", forwarder.fingerprint, "status", outcome.status, "reason", outcome.reason, "may_have_run", outcome.mayHaveRun,
-		"server", outcome.server, "broken", outcome.broken, "took", duration,
-		"tokens", admitted.tokens(), "objective", route.Objective, "gap", route.Gap, "sends", forwarder.sends,
-		"waited", forwarder.account.waited, "placed", forwarder.account.placed, "predicted", forwarder.account.predicted,
-		"first", forwarder.account.first, "pause", forwarder.account.pause,
+		"server", outcome.server, "broken", outcome.truncated, "took", duration,
+		"tokens", admitted.promptTokens(), "objective", route.Objective, "gap", route.Gap, "sends", forwarder.sends,
+		"waited", forwarder.timings.waited, "placed", forwarder.timings.placedAfter, "predicted", forwarder.timings.predicted,
+		"first", forwarder.timings.firstEventAfter, "pause", forwarder.timings.longestGap,
 		"version", version, "version_age", age)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -47,82 +47,82 @@
 	// RevokeMargin is subtracted from Bounds.Revoke: requests with a key are refused that much
 	// earlier.
 	RevokeMargin time.Duration `yaml:"revoke_margin" validate:"min=0"`
-	// Margin is how long before the caller's deadline a request gets its response.
-	Margin time.Duration `yaml:"margin" validate:"min=0,max=1s"`
-	// Look is the longest interval between two attempts to place a request that waits
+	// DeadlineMargin is how long before the caller's deadline a request gets its response.
+	DeadlineMargin time.Duration `yaml:"margin" validate:"min=0,max=1s"`
+	// PlacementInterval is the longest interval between two attempts to place a request that waits
 	// for server capacity.
-	Look time.Duration `yaml:"look" validate:"min=1ms"`
-	// HoldObjectives is how long a long prompt is queued while no server has capacity, as a
+	PlacementInterval time.Duration `yaml:"look" validate:"min=1ms"`
+	// QueueTimeObjectives is how long a long prompt is queued while no server has capacity, as a
 	// multiple of its objective. After that it can no longer meet its objective, and it delays the
 	// requests queued behind it.
-	HoldObjectives float64 `yaml:"hold_objectives" validate:"min=0.1"`
-	// HoldPart is the largest fraction of the caller's time that a request may be queued.
+	QueueTimeObjectives float64 `yaml:"hold_objectives" validate:"min=0.1"`
+	// QueueTimeFraction is the largest fraction of the caller's time that a request may be queued.
 	// It keeps a retried request from being queued until its deadline without a chance of being
 	// served.
-	HoldPart float64 `yaml:"hold_part" validate:"min=0.1,max=1"`
-	// LastLook is added to the queueing time above. In this time the request has missed its
+	QueueTimeFraction float64 `yaml:"hold_part" validate:"min=0.1,max=1"`
+	// QueueTimeExtra is added to the queueing time above. In this time the request has missed its
 	// objective and takes only capacity that delays no other request; the coordinator evaluates it
 	// several times. Without it, a prompt too long to ever meet its objective is refused even while
 	// servers are idle.
-	LastLook time.Duration `yaml:"last_look" validate:"min=0"`
-	// Silence is how long after the predicted time the first event may arrive before
-	// another server is tried. SilencePart is the fraction of the prediction that is added to it.
-	Silence     time.Duration `yaml:"silence" validate:"min=10ms"`
-	SilencePart float64       `yaml:"silence_part" validate:"min=0"`
-	// GapMin is the shortest time without an event after which a stream is resumed on
-	// another server. GapTimes gives the same time as a multiple of the route's inter-event
+	QueueTimeExtra time.Duration `yaml:"last_look" validate:"min=0"`
+	// FirstEventMargin is how long after the predicted time the first event may arrive before
+	// another server is tried. FirstEventFactor is the fraction of the prediction that is added to it.
+	FirstEventMargin time.Duration `yaml:"silence" validate:"min=10ms"`
+	FirstEventFactor float64       `yaml:"silence_part" validate:"min=0"`
+	// StreamTimeoutMin is the shortest time without an event after which a stream is resumed on
+	// another server. StreamTimeoutGaps gives the same time as a multiple of the route's inter-event
 	// objective; the longer of the two applies.
-	GapMin   time.Duration `yaml:"gap_min" validate:"min=10ms"`
-	GapTimes float64       `yaml:"gap_times" validate:"min=1"`
+	StreamTimeoutMin  time.Duration `yaml:"gap_min" validate:"min=10ms"`
+	StreamTimeoutGaps float64       `yaml:"gap_times" validate:"min=1"`
 	// RetryAfterMin and RetryAfterMax bound the random delay after which a refused caller may
 	// retry.
 	RetryAfterMin time.Duration `yaml:"retry_after_min" validate:"min=0"`
 	RetryAfterMax time.Duration `yaml:"retry_after_max" validate:"min=1ms,gtefield=RetryAfterMin"`
-	// StartHold is how long after the start of the process requests wait for the first
+	// StartupWait is how long after the start of the process requests wait for the first
 	// configuration, which arrives slightly late when many VMs start together. Without it, callers
 	// would be told to retry only after seconds.
-	StartHold time.Duration `yaml:"start_hold" validate:"min=0,max=5s"`
+	StartupWait time.Duration `yaml:"start_hold" validate:"min=0,max=5s"`
 	// StoreRetryMin and StoreRetryMax are the same bounds for a VM without a configuration. A VM
 	// that reaches the store has one shortly after its start, so the store is unreachable in this
 	// case. That lasts seconds, and callers that retry sooner use up their retries.
 	StoreRetryMin time.Duration `yaml:"store_retry_min" validate:"min=0"`
 	StoreRetryMax time.Duration `yaml:"store_retry_max" validate:"min=1ms,gtefield=StoreRetryMin"`
-	// MaxAnswerBytes is the largest response of a plain service, which is buffered whole, in
+	// MaxResponseBytes is the largest response of a plain service, which is buffered whole, in
 	// bytes.
-	MaxAnswerBytes int64 `yaml:"max_answer_bytes" validate:"min=1024"`
-	// MaxBodyPart is the fraction of the process's memory that the bodies of all requests
+	MaxResponseBytes int64 `yaml:"max_answer_bytes" validate:"min=1024"`
+	// BodyMemoryFraction is the fraction of the process's memory that the bodies of all requests
 	// may use.
-	MaxBodyPart float64 `yaml:"max_body_part" validate:"min=0.01,max=0.9"`
-	// MaxAnswersPart is the fraction of the process's memory that all buffered responses of
+	BodyMemoryFraction float64 `yaml:"max_body_part" validate:"min=0.01,max=0.9"`
+	// ResponseMemoryFraction is the fraction of the process's memory that all buffered responses of
 	// plain services may use.
-	MaxAnswersPart float64 `yaml:"max_answers_part" validate:"min=0.01,max=0.9"`
-	// WriteTime is how long a caller may take to read one event or response.
-	WriteTime time.Duration `yaml:"write_time" validate:"min=100ms"`
-	// RetryPart is the fraction of the operator's retry budget that is used.
-	RetryPart float64 `yaml:"retry_part" validate:"min=0,max=1"`
+	ResponseMemoryFraction float64 `yaml:"max_answers_part" validate:"min=0.01,max=0.9"`
+	// WriteTimeout is how long a caller may take to read one event or response.
+	WriteTimeout time.Duration `yaml:"write_time" validate:"min=100ms"`
+	// RetryBudgetFraction is the fraction of the operator's retry budget that is used.
+	RetryBudgetFraction float64 `yaml:"retry_part" validate:"min=0,max=1"`
 }
 
-// silence returns after how long without an event a stream is abandoned, where pauses of up
+// streamTimeout returns after how long without an event a stream is abandoned, where pauses of up
 // to gap meet the objective.
-func (settings RequestSettings) silence(gap time.Duration) time.Duration {
-	return max(settings.GapMin, time.Duration(settings.GapTimes*float64(gap)))
+func (settings RequestSettings) streamTimeout(gap time.Duration) time.Duration {
+	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(gap)))
 }
 
 // DrainSettings are the parameters of a planned stop.
 type DrainSettings struct {
-	// Notice is how long after the request to stop the load balancer may still open
+	// RefuseDelay is how long after the request to stop the load balancer may still open
 	// connections to this VM.
-	Notice time.Duration `yaml:"notice" validate:"min=0"`
-	// Reserve is the part of the grace period kept for aborting requests that have not
+	RefuseDelay time.Duration `yaml:"notice" validate:"min=0"`
+	// ShutdownReserve is the part of the grace period kept for aborting requests that have not
 	// ended.
-	Reserve time.Duration `yaml:"reserve" validate:"min=0"`
+	ShutdownReserve time.Duration `yaml:"reserve" validate:"min=0"`
 }
 
 // LoggingSettings are the parameters of the log.
 type LoggingSettings struct {
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
-	// Queue is how many lines may wait to be written; further lines are dropped.
-	Queue int `yaml:"queue" validate:"min=1"`
+	// MaxQueuedLines is how many lines may wait to be written; further lines are dropped.
+	MaxQueuedLines int `yaml:"queue" validate:"min=1"`
 }
 
 // DefaultSettings returns the settings for data centres within one city.
@@ -149,32 +149,32 @@
 		Reservation: reservation.DefaultSettings(),
 		Quarantine:  quarantine.DefaultSettings(),
 		Request: RequestSettings{
-			RevokeMargin:   500 * time.Millisecond,
-			Margin:         20 * time.Millisecond,
-			Look:           20 * time.Millisecond,
-			HoldObjectives: 1,
-			HoldPart:       0.45,
-			LastLook:       60 * time.Millisecond,
-			Silence:        900 * time.Millisecond,
-			SilencePart:    2,
-			GapMin:         1600 * time.Millisecond,
-			GapTimes:       4,
-			RetryAfterMin:  200 * time.Millisecond,
-			RetryAfterMax:  600 * time.Millisecond,
-			StartHold:      400 * time.Millisecond,
-			StoreRetryMin:  2 * time.Second,
-			StoreRetryMax:  3200 * time.Millisecond,
-			MaxAnswerBytes: 4 << 20,
-			MaxBodyPart:    0.3,
-			MaxAnswersPart: 0.2,
-			WriteTime:      5 * time.Second,
-			RetryPart:      0.8,
+			RevokeMargin:           500 * time.Millisecond,
+			DeadlineMargin:         20 * time.Millisecond,
+			PlacementInterval:      20 * time.Millisecond,
+			QueueTimeObjectives:    1,
+			QueueTimeFraction:      0.45,
+			QueueTimeExtra:         60 * time.Millisecond,
+			FirstEventMargin:       900 * time.Millisecond,
+			FirstEventFactor:       2,
+			StreamTimeoutMin:       1600 * time.Millisecond,
+			StreamTimeoutGaps:      4,
+			RetryAfterMin:          200 * time.Millisecond,
+			RetryAfterMax:          600 * time.Millisecond,
+			StartupWait:            400 * time.Millisecond,
+			StoreRetryMin:          2 * time.Second,
+			StoreRetryMax:          3200 * time.Millisecond,
+			MaxResponseBytes:       4 << 20,
+			BodyMemoryFraction:     0.3,
+			ResponseMemoryFraction: 0.2,
+			WriteTimeout:           5 * time.Second,
+			RetryBudgetFraction:    0.8,
 		},
 		Drain: DrainSettings{
-			Notice:  3 * time.Second,
-			Reserve: 1100 * time.Millisecond,
+			RefuseDelay:     3 * time.Second,
+			ShutdownReserve: 1100 * time.Millisecond,
 		},
-		Logging: LoggingSettings{Level: "info", Queue: 2048},
+		Logging: LoggingSettings{Level: "info", MaxQueuedLines: 2048},
 	}
 }
 
@@ -186,6 +186,6 @@
 	case PolicyRoundRobin:
 		return placement.RoundRobin{}
 	default:
-		return placement.New(settings.Placement.WithStreamTimeout(settings.Request.silence))
+		return placement.New(settings.Placement.WithStreamTimeout(settings.Request.streamTimeout))
 	}
 }
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -24,8 +24,8 @@
 	Heartbeat time.Duration
 	// FirstStart is true if all VMs of the system start for the first time.
 	FirstStart bool
-	// Store is the address of the platform's store.
-	Store string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
 	// MemoryBytes is the memory that the process may use, or zero if it is not configured.
 	MemoryBytes int64
 	Bounds      Bounds
@@ -63,8 +63,8 @@
 	return min(bounds.Apply, bounds.Evacuate)
 }
 
-// part returns a fraction of the memory that the process may use, in bytes, or zero if
+// memoryFraction returns a fraction of the memory that the process may use, in bytes, or zero if
 // that is not configured.
-func (site Site) part(memoryFraction float64) int64 {
+func (site Site) memoryFraction(memoryFraction float64) int64 {
 	return int64(memoryFraction * float64(site.MemoryBytes))
 }
--- a/internal/gateway/slow_client_test.go
+++ b/internal/gateway/slow_client_test.go
@@ -71,7 +71,7 @@
 		for _, server := range status.Servers {
 			assert.Assert(t, !server.Suspect, server.ID)
 		}
-		assert.Equal(t, len(status.Kept), 0)
+		assert.Equal(t, len(status.Quarantined), 0)
 		assert.Equal(t, harness.queryAndStall(streamRequest("bill"), 0).status, http.StatusOK)
 	})
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -21,12 +21,12 @@
 	Epoch        int64               `json:"epoch"`
 	EpochSeconds float64             `json:"epoch_seconds,omitempty"`
 	Servers      []pool.ServerStatus `json:"servers"`
-	// Kept has the quarantined requests, which are sent to no server.
-	Kept []KeptStatus `json:"kept,omitempty"`
+	// Quarantined has the quarantined requests, which are sent to no server.
+	Quarantined []QuarantinedStatus `json:"kept,omitempty"`
 }
 
-// KeptStatus is a quarantined request: servers crash while processing it.
-type KeptStatus struct {
+// QuarantinedStatus is a quarantined request: servers crash while processing it.
+type QuarantinedStatus struct {
 	Fingerprint string  `json:"fingerprint"`
 	Seconds     float64 `json:"seconds"`
 	// Times counts how often the request was found to crash servers.
@@ -46,7 +46,7 @@
 		status.EpochSeconds = now.Sub(rose).Seconds()
 	}
 	for _, entry := range gateway.quarantine.Entries() {
-		status.Kept = append(status.Kept, KeptStatus{
+		status.Quarantined = append(status.Quarantined, QuarantinedStatus{
 			Fingerprint: strconv.FormatUint(uint64(entry.Fingerprint), 10), Seconds: entry.Until.Sub(now).Seconds(), Times: entry.Times,
 		})
 	}
--- a/internal/losses/request.go
+++ b/internal/losses/request.go
@@ -112,13 +112,13 @@
 		return CauseLeft
 	case gateway.ReasonStopping:
 		return CauseStopping
-	case gateway.ReasonTime:
+	case gateway.ReasonDeadlineExceeded:
 		return CauseTime
-	case gateway.ReasonBusy:
+	case gateway.ReasonServersBusy:
 		return CauseHeld
-	case gateway.ReasonRefused:
+	case gateway.ReasonServersRefused:
 		return CauseBudget
-	case gateway.ReasonNoConfiguration, gateway.ReasonStale:
+	case gateway.ReasonNoConfiguration, gateway.ReasonStaleConfiguration:
 		return CauseUnknown
 	case gateway.ReasonServerFailed:
 		return CauseServer
