--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -40,8 +40,8 @@
 	vm.pool.HandleReports(name, reports)
 }
 
-// Own implements exchange.Sink.
-func (vm *fleetVM) Own() []pool.Report {
+// OwnReports implements exchange.Sink.
+func (vm *fleetVM) OwnReports() []pool.Report {
 	return append(vm.pool.OwnReports(), vm.pool.OwnLimitReports(vm.exchange.Evaluates())...)
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -36,8 +36,8 @@
 type Sink interface {
 	// HandleReports handles the reports of another VM.
 	HandleReports(vm string, reports []pool.Report)
-	// Own returns all current reports of this VM, which each heartbeat repeats.
-	Own() []pool.Report
+	// OwnReports returns all current reports of this VM, which each heartbeat repeats.
+	OwnReports() []pool.Report
 	// HandleRequests handles requests for servers that another VM sends to this coordinator.
 	HandleRequests(vm string, asks []dispatch.AssignmentRequest)
 	// HandleAnswers handles what another VM, a coordinator, decided for requests of this one.
@@ -278,6 +278,6 @@
 // sendHeartbeats sends a heartbeat with all of this VM's reports once per HeartbeatInterval.
 func (exchange *Exchange) sendHeartbeats(ctx context.Context, sink Sink) {
 	for wait.For(ctx, exchange.settings.HeartbeatInterval) {
-		exchange.sendState(exchange.heartbeatTargets(), sink.Own(), sink.Quarantined())
+		exchange.sendState(exchange.heartbeatTargets(), sink.OwnReports(), sink.Quarantined())
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -82,7 +82,7 @@
 
 var _ exchange.Sink = (*sink)(nil)
 
-func (sink *sink) Own() []pool.Report {
+func (sink *sink) OwnReports() []pool.Report {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
 	return slices.Clone(sink.own)
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -166,6 +166,6 @@
 		exchange.pong(update, address, sink)
 	}
 	if isCoordinator {
-		exchange.sendState([]net.Addr{address}, sink.Own(), sink.Quarantined())
+		exchange.sendState([]net.Addr{address}, sink.OwnReports(), sink.Quarantined())
 	}
 }
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -35,9 +35,9 @@
 	return false
 }
 
-// Own implements exchange.Sink. It returns this VM's requests at servers, those whose server
+// OwnReports implements exchange.Sink. It returns this VM's requests at servers, those whose server
 // connection was lost recently, and the rate limits of servers.
-func (peerSink peerSink) Own() []pool.Report {
+func (peerSink peerSink) OwnReports() []pool.Report {
 	reports := peerSink.Pool.OwnReports()
 	for _, loss := range peerSink.quarantine.RecentLosses() {
 		reports = append(reports, pool.Report{
