--- a/internal/feed/codec.go
+++ b/internal/feed/codec.go
@@ -13,7 +13,7 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// maxPageBytes bounds a page: a configuration of the users has some 100 KB.
+// maxPageBytes bounds the size of a page. A typical configuration is about 100 KB.
 const maxPageBytes = 32 << 20
 
 func encode(page follower.Page) *wire.FeedPage {
@@ -37,16 +37,16 @@
 	return page
 }
 
-// errNothing says that a VM has nothing to tell, since its source does not answer.
-var errNothing = errors.New("feed: nothing to tell")
+// errNoContent is returned when a peer answers with status 503 because its own source is not responding.
+var errNothing = errors.New("feed: peer has no current content")
 
-// get asks for one page. One of an earlier epoch than is known counts for nothing.
+// fetch requests one page from a peer. It fails if the page is of an earlier epoch than the current one.
 func (log *Log) get(request *http.Request) (follower.Page, error) {
 	response, err := log.client.Do(request)
 	if err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is left to lose
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
@@ -55,7 +55,7 @@
 		return follower.Page{}, errNothing
 	}
 	if response.StatusCode != http.StatusOK {
-		return follower.Page{}, errors.Newf("feed: status %d", response.StatusCode)
+		return follower.Page{}, errors.Newf("feed: peer returned status %d", response.StatusCode)
 	}
 	encoded := &wire.FeedPage{}
 	if err := proto.Unmarshal(data, encoded); err != nil {
--- a/internal/feed/compress_test.go
+++ b/internal/feed/compress_test.go
@@ -20,8 +20,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// TestLargePagesAreCompressed has a configuration of 2,000 routes and a small change: sixty
-// VMs that start together waited 0.45 s for the first through the link of one.
+// TestLargePagesAreCompressed serves a configuration of 2,000 routes and a small change. Without compression, sixty VMs
+// that started together needed 0.45 s to fetch the configuration through the link of one VM.
 func TestLargePagesAreCompressed(t *testing.T) {
 	routes := &strings.Builder{}
 	for number := range 2000 {
@@ -32,9 +32,9 @@
 		accepts  string
 		wantGzip bool
 	}{
-		"a large page":                         {value: routes.String(), accepts: "gzip", wantGzip: true},
-		"a large page for one that takes none": {value: routes.String()},
-		"a small page":                         {value: "small", accepts: "gzip"},
+		"a large page":                      {value: routes.String(), accepts: "gzip", wantGzip: true},
+		"a large page without gzip support": {value: routes.String()},
+		"a small page":                      {value: "small", accepts: "gzip"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tail := follower.NewTail(time.Now)
--- a/internal/feed/epoch_test.go
+++ b/internal/feed/epoch_test.go
@@ -12,26 +12,27 @@
 	"github.com/mastwinch/mastwinch/internal/follower"
 )
 
-// inEpoch is a page of that epoch.
+// inEpoch returns page with its epoch set to number.
 func inEpoch(page follower.Page, number epoch.Number) follower.Page {
 	page.Epoch = number
 	return page
 }
 
-// TestEpochsOfOthers has two readers that know an epoch each, while this VM knows epoch 2.
-func TestEpochsOfOthers(t *testing.T) {
+// TestPagesOfEarlierEpochsAreRejected reads from two peers with an epoch each, while this VM is in epoch 2. A page of an
+// earlier epoch must not be used, and a later epoch must become the current one.
+func TestPagesOfEarlierEpochsAreRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		first, second epoch.Number
-		// rises is when the first one hears of epoch 2, or zero.
+		// rises is when the first peer moves to epoch 2; zero means never.
 		rises time.Duration
 		want  string
-		// wantEpoch is the one in force then.
+		// wantEpoch is the current epoch after the read.
 		wantEpoch epoch.Number
 	}{
-		"the same":                          {first: 2, second: 2, want: "first", wantEpoch: 2},
-		"a later one":                       {first: 3, second: 2, want: "first", wantEpoch: 3},
-		"an earlier one":                    {first: 1, second: 2, want: "direct", wantEpoch: 2},
-		"an earlier one that rises in time": {first: 1, second: 1, rises: 100 * time.Millisecond, want: "first", wantEpoch: 2},
+		"the same epoch":                      {first: 2, second: 2, want: "first", wantEpoch: 2},
+		"a later epoch":                       {first: 3, second: 2, want: "first", wantEpoch: 3},
+		"an earlier epoch":                    {first: 1, second: 2, want: "direct", wantEpoch: 2},
+		"an earlier epoch that rises in time": {first: 1, second: 1, rises: 100 * time.Millisecond, want: "first", wantEpoch: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -53,8 +54,9 @@
 	}
 }
 
-// TestUnsettledPageIsTakenWhateverItsAge: it is as new as there is, and its age tells the last proof.
-func TestUnsettledPageIsTakenWhateverItsAge(t *testing.T) {
+// TestUnsettledPageIsUsedAtAnyAge reads a page that is older than the limit. After a store rollback no newer page
+// exists, and the age is that of the last confirmation before it, so an unsettled page must be used nevertheless.
+func TestUnsettledPageIsUsedAtAnyAge(t *testing.T) {
 	for name, test := range map[string]struct {
 		unsettled bool
 		want      string
@@ -79,8 +81,9 @@
 	}
 }
 
-// TestOffsetOfAnotherEpochAsksForEverything of a reader.
-func TestOffsetOfAnotherEpochAsksForEverything(t *testing.T) {
+// TestOffsetOfAnotherEpochReadsAllValues reads from an offset of another epoch. The offset has no meaning in the epoch of
+// the peer, so the peer must return all values.
+func TestOffsetOfAnotherEpochReadsAllValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		epochs := epoch.New(time.Now)
 		first, _, _, log := readersIn(t, several{addresses: []string{readerAddress}}, epochs)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,7 +1,8 @@
-// Package feed lets the VMs of a data centre read the platform's store through
-// one of them, so that calls to the store do not grow with the number of VMs.
-// What a VM reads from another one comes with its age, so that a chain of VMs
-// never makes a belief look younger than it is.
+// Package feed distributes the logs of the platform's store among the VMs of a
+// data centre: a few VMs, the readers, read the store, and the others read from
+// them, so that the number of calls to the store does not grow with the number
+// of VMs. Each page carries its age, so that reading through a chain of VMs
+// never makes content look more recent than it is.
 package feed
 
 import (
@@ -20,54 +21,55 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Path of a page, and names in its query.
+// URL path of a page, and the names of its query parameters.
 const (
 	path        = "/feed"
 	queryLog    = "log"
 	queryOffset = "offset"
 	queryEpoch  = "epoch"
 	queryWait   = "wait_ms"
-	// queryAwait says that the asker has nobody better to ask.
+	// queryAwait makes a reader whose source is not responding wait for it instead of failing at once.
 	queryAwait = "await"
 )
 
-// everything is the offset of a question for the newest value of all keys.
+// allKeysOffset is the offset that requests the latest value of every key.
 const everything = -1
 
-// maxWait bounds what others may ask a VM to wait.
+// maxWait bounds the wait that a peer may request.
 const maxWait = 30 * time.Second
 
-// Role is a VM's part in reading the store.
+// Role says from where a VM reads the logs, and whether peers read from it.
 type Role struct {
-	// Ask is the address of the VM that reads for this one. It is empty when
-	// this VM reads itself.
+	// ReaderAddress is the address of the reader from which this VM reads. It is
+	// empty if this VM reads the store itself.
 	Ask string
-	// Serves says that others depend on what this VM reads.
+	// IsReader says that peers read from this VM.
 	Serves bool
-	// Before has the addresses of VMs that would read for this one, and that the store
-	// does not answer.
+	// UnavailableReaders has the addresses of the peers that would be readers for this VM, but to which the store does
+	// not respond.
 	Before []string
-	// Unsettled says that this VM does not know yet who else is there.
+	// MembersUnknown says that this VM has not discovered the other VMs yet.
 	Unsettled bool
 }
 
-// Members says which part this VM has.
+// Members gives access to the VMs known to this one.
 type Members interface {
-	// Role returns the part of this VM. With fewer than least live VMs in the data
-	// centre each reads itself; one that is avoided is not asked.
-	Role(least int, avoid func(address string) bool) Role
-	// Others returns the addresses of live VMs of any data centre, those that run longest first. It reports false
-	// while it is not known yet who is there.
-	Others(most int) ([]string, bool)
+	// Role returns the role of this VM. With fewer than minLive live VMs in the data
+	// centre each VM reads the store itself. Addresses for which avoid returns true are
+	// not chosen as readers.
+	Role(minLive int, avoid func(address string) bool) Role
+	// LivePeers returns the addresses of at most limit live VMs of any data centre, those
+	// with the longest uptime first. It reports false while the members are still unknown.
+	Others(limit int) ([]string, bool)
 }
 
-// Log is a log that is read through another VM, or directly when there is none
-// or it fails.
+// Log reads a log from a peer, or from the store if there is no reader or the
+// reader fails. It is safe for concurrent use.
 type Log struct {
 	name    string
 	direct  follower.Log
 	members Members
-	// bound returns within what time changes must be known.
+	// maxDelay returns the time within which a change must reach this VM.
 	bound    func() time.Duration
 	client   *http.Client
 	settings Settings
@@ -76,47 +78,47 @@
 	now      func() time.Time
 
 	mu sync.Mutex
-	// avoided has until when VMs are not asked, by address.
+	// avoidedUntil has the time until which a peer is not used as a reader, by address.
 	avoided map[string]time.Time
-	// asked is who was asked last, empty for the store.
+	// lastReader is the address of the reader used last, or empty for the store.
 	asked string
-	// begun is when this VM started.
+	// startedAt is when this Log was created.
 	begun time.Time
-	// failed is when this VM asked the store last, if that did not answer, or zero.
+	// storeFailedAt is when the last read from the store failed; zero if it succeeded.
 	failed time.Time
-	// read says that a page came.
+	// hasRead says that a page has been received.
 	read bool
 }
 
 var _ follower.Log = (*Log)(nil)
 
-// New returns the log of that name, which is read at direct when no other VM
-// reads it for this one. Changes must be known within bound.
+// New returns the log called name, which is read from direct if no peer can be
+// read from. maxDelay returns the time within which a change must reach this VM.
 func New(
-	name string, direct follower.Log, members Members, bound func() time.Duration,
+	name string, direct follower.Log, members Members, maxDelay func() time.Duration,
 	transport http.RoundTripper, settings Settings, epochs *epoch.Watch, logger *slog.Logger, now func() time.Time,
 ) *Log {
 	return &Log{
-		name: name, direct: direct, members: members, bound: bound, client: &http.Client{Transport: transport},
+		name: name, direct: direct, members: members, bound: maxDelay, client: &http.Client{Transport: transport},
 		settings: settings, epochs: epochs, logger: logger, now: now,
 		avoided: make(map[string]time.Time), begun: now(),
 	}
 }
 
-// meetTick is the time between looks whether this VM knows the others.
+// membersPollInterval is the time between checks whether the members are known.
 const meetTick = 10 * time.Millisecond
 
 // Read implements follower.Log.
 func (log *Log) Read(ctx context.Context, from follower.Position, wait time.Duration) (follower.Page, error) {
 	log.meet(ctx)
-	asked := log.now()
+	startedAt := log.now()
 	page, role, err := log.readElsewhere(ctx, from)
 	if err == nil {
 		log.noteRead()
 		return page, nil
 	}
 	if !errors.Is(err, errNobody) {
-		wait = 0 // much time is over since the last proof
+		wait = 0 // reading from peers took time, so a confirmation is needed at once
 	}
 	if role.Serves {
 		wait = min(wait, log.readerWait())
@@ -126,34 +128,34 @@
 		if err == nil || errors.Is(err, errNothing) || ctx.Err() != nil {
 			return page, err
 		}
-		// One that is not reached says nothing of the store.
+		// A reader that cannot be reached gives no information on the store.
 	}
-	late := log.now().Sub(asked)
+	delay := log.now().Sub(startedAt)
 	page, err = log.direct.Read(ctx, from, wait)
 	log.noteDirect(err)
 	if err != nil {
-		return page, err //nolint:wrapcheck // the log says what failed
+		return page, err //nolint:wrapcheck // the log adds the context
 	}
-	page.Age -= late // the store was asked that much later
+	page.Age -= delay // Age is relative to the start of this call, and the store was read later
 	return log.vouched(ctx, page), nil
 }
 
-// fewReaders is how many VMs of a data centre ask a store that is away all the time.
+// probingReaders is the number of VMs of a data centre that keep calling the store while it is unavailable.
 const fewReaders = 2
 
-// awaited returns where this VM waits for the store to come back, or nothing when it asks
-// the store itself.
+// readerToAwait returns the address of the reader through which this VM waits for the store
+// to recover. It is empty if this VM calls the store itself.
 func (log *Log) awaited(role Role) string {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	if len(role.Before) < fewReaders || log.failed.IsZero() || log.now().Sub(log.failed) >= log.settings.Probe {
 		return ""
 	}
-	return role.Before[rand.IntN(fewReaders)] //nolint:gosec // no secret
+	return role.Before[rand.IntN(fewReaders)] //nolint:gosec // no security depends on it
 }
 
-// noteDirect notes whether the store answered. That changes are gone is an answer: taken for none it would keep a VM
-// waiting for readers that the store turned away, with what it knew before.
+// recordStoreResult records whether the store responded. ErrTrimmed counts as a response: if it counted as a failure,
+// the VM would keep its outdated content while it waits for readers to which the store does not respond.
 func (log *Log) noteDirect(err error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -163,7 +165,7 @@
 	}
 }
 
-// meet waits until this VM knows whom to ask, at its start.
+// awaitMembers waits after the start until the members are known, for at most Settings.MembersTimeout.
 func (log *Log) meet(ctx context.Context) {
 	for log.now().Sub(log.begun) < log.settings.Meet && log.role().Unsettled {
 		if !wait.For(ctx, meetTick) {
@@ -172,33 +174,33 @@
 	}
 }
 
-// errNobody says that no other VM reads for this one.
-var errNobody = errors.New("feed: nobody to ask")
+// errNoReader is returned if no peer is a reader for this VM.
+var errNobody = errors.New("feed: no reader among the peers")
 
-// readElsewhere asks other VMs, and returns the part of this one as it is then.
+// readFromReaders tries up to Settings.MaxReaders readers, and returns the role of this VM after the last attempt.
 func (log *Log) readElsewhere(ctx context.Context, from follower.Position) (follower.Page, Role, error) {
-	asked := log.now()
-	failed := errNobody
+	startedAt := log.now()
+	lastErr := errNobody
 	for range log.settings.Tries {
 		role := log.role()
 		log.noteAsked(role.Ask)
 		if role.Ask == "" {
-			return follower.Page{}, role, failed
+			return follower.Page{}, role, lastErr
 		}
 		page, err := log.readThrough(ctx, role.Ask, from, log.settings.Wait, "")
 		if err == nil {
 			return page, role, nil
 		}
 		log.avoid(role.Ask, err)
-		failed = err
-		if log.now().Sub(asked) > log.settings.Patience {
-			break // the bound leaves no time for another one
+		lastErr = err
+		if log.now().Sub(startedAt) > log.settings.Patience {
+			break // another attempt would exceed the time within which changes must arrive
 		}
 	}
-	return follower.Page{}, log.role(), failed
+	return follower.Page{}, log.role(), lastErr
 }
 
-// role is the part of this VM.
+// role returns the current role of this VM. A VM reads the store itself if content from peers would be too old for it.
 func (log *Log) role() Role {
 	if log.maxAge() <= leastAge {
 		return Role{}
@@ -206,35 +208,35 @@
 	return log.members.Role(log.settings.MinMembers, log.avoids)
 }
 
-// leastAge is the age that another VM's content must be allowed to have so that reading through it is worth it.
+// minUsefulAge is the smallest limit on the age of a page at which reading from peers is worthwhile.
 const leastAge = 600 * time.Millisecond
 
-// readerWait bounds how long a question waits at the store when others depend on the answer.
+// maxReaderWait bounds how long a read waits at the store for a change if peers read from this VM.
 func (log *Log) readerWait() time.Duration {
 	return time.Duration(log.settings.ReaderPart * float64(log.maxAge()))
 }
 
-// maxAge is how old another VM's content may be, so that a change that it does
-// not have yet is known within the bound by the next question.
+// maxAge returns the largest age at which a page of a peer is used: a change that the
+// page lacks then still arrives in time with the next read.
 func (log *Log) maxAge() time.Duration {
 	return log.bound() - log.settings.Margin - log.settings.Wait - log.settings.Patience
 }
 
-// readThrough asks another VM, how being added to the query.
-func (log *Log) readThrough(ctx context.Context, address string, from follower.Position, wait time.Duration, how string) (follower.Page, error) {
+// readFromPeer reads a page from a peer. extraQuery is appended to the query string.
+func (log *Log) readThrough(ctx context.Context, address string, from follower.Position, wait time.Duration, extraQuery string) (follower.Page, error) {
 	bounded, cancel := context.WithTimeout(ctx, wait+log.settings.Patience)
 	defer cancel()
 	if current, known := log.epochs.Current(); known && current != from.Epoch {
-		from = follower.Position{Epoch: current} // its offset says nothing in the epoch in force
+		from = follower.Position{Epoch: current} // the offset has no meaning in the current epoch
 	}
-	offset, some := from.Offset()
-	if !some {
+	offset, hasOffset := from.Offset()
+	if !hasOffset {
 		offset = everything
 	}
 	target := "http://" + address + path + "?" + queryLog + "=" + log.name +
 		"&" + queryOffset + "=" + strconv.FormatInt(offset, 10) +
 		"&" + queryEpoch + "=" + strconv.FormatInt(int64(from.Epoch), 10) +
-		"&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10) + how
+		"&" + queryWait + "=" + strconv.FormatInt(wait.Milliseconds(), 10) + extraQuery
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, target, nil)
 	if err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
@@ -244,30 +246,31 @@
 		return follower.Page{}, err
 	}
 	if page.Age > log.maxAge() && !page.Unsettled {
-		return follower.Page{}, errors.Newf("feed: content is %s old", page.Age)
+		return follower.Page{}, errors.Newf("feed: content of peer is too old: %s", page.Age)
 	}
 	return page, nil
 }
 
-// avoids reports whether a VM did not answer lately.
+// isAvoided reports whether a peer failed recently, so that it is not used as a reader.
 func (log *Log) avoids(address string) bool {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return log.now().Before(log.avoided[address])
 }
 
+// avoid excludes a peer from the choice of readers for a time that depends on err.
 func (log *Log) avoid(address string, err error) {
-	log.logger.Info("feed of another VM not taken", "log", log.name, "address", address, "error", err)
+	log.logger.Info("could not read log from peer", "log", log.name, "address", address, "error", err)
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	time := log.settings.Avoid
+	duration := log.settings.Avoid
 	if errors.Is(err, errNothing) {
-		time = log.settings.AvoidLost
+		duration = log.settings.AvoidLost
 	}
-	log.avoided[address] = log.now().Add(time)
+	log.avoided[address] = log.now().Add(duration)
 }
 
-// noteAsked logs when another VM is asked than before.
+// logReader logs a change of the reader from which this VM reads.
 func (log *Log) noteAsked(address string) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -275,5 +278,5 @@
 		return
 	}
 	log.asked = address
-	log.logger.Info("log read elsewhere", "log", log.name, "address", address, "directly", address == "")
+	log.logger.Info("log reader changed", "log", log.name, "address", address, "directly", address == "")
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,13 +21,13 @@
 
 const readerAddress = "10.0.0.1:7340"
 
-var errAway = errors.New("store is away")
+var errAway = errors.New("store is unavailable")
 
-// store is a log that answers at once, unless it is away, and counts calls.
+// store is a log that responds at once unless it is unavailable, and records its calls.
 type store struct {
 	mu   sync.Mutex
 	away bool
-	// trimmed says that changes are not kept any more.
+	// trimmed says that the changes have been removed, so that only a read of all values succeeds.
 	trimmed bool
 	calls   int
 	waits   []time.Duration
@@ -47,13 +47,13 @@
 	if store.away {
 		return follower.Page{}, errAway
 	}
-	if _, some := from.Offset(); some && store.trimmed {
+	if _, hasOffset := from.Offset(); hasOffset && store.trimmed {
 		return follower.Page{}, follower.ErrTrimmed
 	}
 	return follower.Page{Next: 1, Whole: true, Records: []follower.Record{{Key: "direct", Value: []byte("1")}}}, nil
 }
 
-// members gives a fixed part.
+// members returns a fixed role.
 type members struct {
 	role feed.Role
 }
@@ -73,41 +73,41 @@
 	tests := map[string]struct {
 		role  feed.Role
 		bound time.Duration
-		// age is how old the reader's content is, below zero for none.
+		// age is the age of the reader's content; a negative age means that it has none.
 		age  time.Duration
 		dark bool
 		want string
-		// wantWait is how long a question waits at the store, if it goes there.
+		// wantWait is the wait of a read from the store, if there is one.
 		wantWait time.Duration
-		// wantAtOnce says that the first one does not wait there, since another VM
-		// was asked before.
+		// wantAtOnce says that the first read from the store does not wait, since it
+		// follows a failed read from a reader.
 		wantAtOnce bool
 	}{
-		"through another VM": {
+		"from a reader": {
 			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, want: "through",
 		},
-		"directly when none reads for it": {
+		"from the store without a reader": {
 			bound: 3 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
-		"directly, and not for long, when others depend on it": {
+		"from the store with a short wait as a reader": {
 			role: feed.Role{Serves: true}, bound: 3 * time.Second, want: "direct", wantWait: 602 * time.Millisecond,
 		},
-		"directly, and longer, when others have more time": {
+		"from the store with a longer wait as a reader with a larger delay": {
 			role: feed.Role{Serves: true}, bound: 5 * time.Second, want: "direct", wantWait: 1462 * time.Millisecond,
 		},
-		// A reader that the store turned away kept others at an old configuration.
-		"directly when the other's content is too old for the bound": {
+		// A reader to which the store did not respond kept its peers at an old configuration.
+		"from the store if the reader's content is too old": {
 			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, age: 1500 * time.Millisecond,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
-		"directly when the bound leaves no time to ask others": {
+		"from the store if the delay leaves no time for readers": {
 			role: feed.Role{Ask: readerAddress}, bound: 2 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
-		"directly when the other says nothing": {
+		"from the store if the reader is unreachable": {
 			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, dark: true,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
-		"directly when the other knows nothing": {
+		"from the store if the reader has no content": {
 			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, age: -1,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
@@ -135,12 +135,12 @@
 				store := newStore()
 				log := feed.New("log", store, members{role: test.role}, func() time.Duration { return test.bound },
 					transport, feed.DefaultSettings(), epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
-				for range 2 { // the second time a VM that failed is not asked
-					asked := time.Now()
+				for range 2 { // in the second round a reader that failed is not used
+					startedAt := time.Now()
 					page, err := log.Read(t.Context(), follower.Position{}, 1500*time.Millisecond)
 					assert.NilError(t, err)
 					assert.Equal(t, page.Records[0].Key, test.want)
-					checkAge(t, page, test.want, time.Since(asked))
+					checkAge(t, page, test.want, time.Since(startedAt))
 				}
 				for nth, wait := range store.waits {
 					assert.Equal(t, wait, wantWait(nth, test.wantAtOnce, test.wantWait))
@@ -150,30 +150,30 @@
 	}
 }
 
-// checkAge checks that a page of the store is as young as the question to the store.
-func checkAge(t *testing.T, page follower.Page, from string, since time.Duration) {
+// checkAge checks that the age of a page from the store counts from the read at the store.
+func checkAge(t *testing.T, page follower.Page, source string, elapsed time.Duration) {
 	t.Helper()
-	if from == "direct" {
-		assert.Equal(t, page.Age, -since)
+	if source == "direct" {
+		assert.Equal(t, page.Age, -elapsed)
 	}
 }
 
-// wantWait is how long the nth question waits at the store.
-func wantWait(nth int, atOnce bool, wait time.Duration) time.Duration {
-	if nth == 0 && atOnce {
+// wantWait returns the expected wait of the nth read from the store.
+func wantWait(index int, atOnce bool, wait time.Duration) time.Duration {
+	if index == 0 && atOnce {
 		return 0
 	}
 	return wait
 }
 
-func TestBadQuestions(t *testing.T) {
+func TestHandlerRejectsInvalidRequests(t *testing.T) {
 	handler := feed.Handler(map[string]*follower.Tail{"log": follower.NewTail(time.Now)}, epoch.New(time.Now), slog.New(slog.DiscardHandler))
 	for name, target := range map[string]string{
-		"no log":     "/feed?log=none&offset=1&epoch=0&wait_ms=1",
-		"no offset":  "/feed?log=log&offset=x&epoch=0&wait_ms=1",
-		"no epoch":   "/feed?log=log&offset=1&wait_ms=1",
-		"no wait":    "/feed?log=log&offset=1&epoch=0",
-		"other path": "/other",
+		"unknown log":    "/feed?log=none&offset=1&epoch=0&wait_ms=1",
+		"invalid offset": "/feed?log=log&offset=x&epoch=0&wait_ms=1",
+		"missing epoch":  "/feed?log=log&offset=1&wait_ms=1",
+		"missing wait":   "/feed?log=log&offset=1&epoch=0",
+		"other path":     "/other",
 	} {
 		t.Run(name, func(t *testing.T) {
 			request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, target, nil)
@@ -185,7 +185,7 @@
 	}
 }
 
-// recorder keeps the status of an answer.
+// recorder records the status of a response and discards its body.
 type recorder struct {
 	header http.Header
 	status int
--- a/internal/feed/handler.go
+++ b/internal/feed/handler.go
@@ -14,7 +14,8 @@
 	"github.com/mastwinch/mastwinch/internal/follower"
 )
 
-// Handler serves the tails of the logs that this VM reads, by name. Who asks may have heard of a later epoch.
+// Handler serves the tails of the logs that this VM reads, by log name. An epoch in a request that is later than the
+// current one is passed to epochs as a hint.
 func Handler(tails map[string]*follower.Tail, epochs *epoch.Watch, logger *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	large := make(chan struct{}, largeAtOnce)
@@ -53,7 +54,7 @@
 		}
 		data, err := proto.Marshal(encode(page))
 		if err != nil {
-			logger.Error("page not made", "error", err)
+			logger.Error("could not encode feed page", "error", err)
 			writer.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -62,15 +63,15 @@
 	return mux
 }
 
-// compressFrom is from how many bytes on a page is compressed. A whole configuration of
-// some 180 KB to 60 VMs that start together takes a link of 200 Mbit/s 0.43 s.
+// minCompressedBytes is the size from which a page is compressed. Uncompressed, a configuration of
+// about 180 KB for 60 VMs that start together occupies a link of 200 Mbit/s for 0.43 s.
 const compressFrom = 4 << 10
 
-// largeAtOnce is how many large pages are made and written at once. Where all VMs of a data centre start together, each
-// asks for one of some hundred KB, which takes several times that while it is made.
+// maxConcurrentLargePages bounds how many large pages are encoded and written at the same time. If all VMs of a data
+// centre start together, each requests a page of some 100 KB, and encoding takes several times that in memory.
 const largeAtOnce = 16
 
-// size is how many bytes the values of a page have.
+// size returns the total size of the values of a page in bytes.
 func size(page follower.Page) int {
 	bytes := 0
 	for _, record := range page.Records {
@@ -79,16 +80,16 @@
 	return bytes
 }
 
-// write writes a page, compressed if it is large and the asker takes that.
+// write writes an encoded page, compressed if it is large and the client accepts gzip.
 func write(writer http.ResponseWriter, request *http.Request, data []byte) {
 	if len(data) < compressFrom || !strings.Contains(request.Header.Get("Accept-Encoding"), "gzip") {
-		_, _ = writer.Write(data) // who is gone needs no answer
+		_, _ = writer.Write(data) // the client may have disconnected
 		return
 	}
 	writer.Header().Set("Content-Encoding", "gzip")
 	compressor, err := gzip.NewWriterLevel(writer, gzip.BestSpeed)
 	if err != nil {
-		return // never with this level
+		return // not reached, since the level is valid
 	}
 	_, _ = compressor.Write(data) // as above
 	_ = compressor.Close()        // as above
--- a/internal/feed/others_test.go
+++ b/internal/feed/readers_test.go
@@ -19,7 +19,7 @@
 
 const secondAddress = "10.0.0.2:7340"
 
-// several gives the first VM that is not avoided, once it knows them.
+// several returns the first address that is not avoided as the reader. Its members are unknown before the time known.
 type several struct {
 	addresses []string
 	known     time.Time
@@ -37,21 +37,21 @@
 	return feed.Role{Serves: true}
 }
 
-// Others tells those that it knows, once it does.
-func (several several) Others(most int) ([]string, bool) {
+// LivePeers returns the addresses once the members are known.
+func (several several) Others(limit int) ([]string, bool) {
 	if time.Now().Before(several.known) {
 		return nil, false
 	}
-	return several.addresses[:min(most, len(several.addresses))], true
+	return several.addresses[:min(limit, len(several.addresses))], true
 }
 
-// readers serves the tails of two VMs, and returns them with a log that reads there.
+// readers starts two readers and returns their tails, the store, and a log that reads from them.
 func readers(t *testing.T, members feed.Members) (first, second *follower.Tail, store *store, log *feed.Log) {
 	t.Helper()
 	return readersIn(t, members, epoch.New(time.Now))
 }
 
-// readersIn is readers for a VM that hears of epochs.
+// readersIn is like readers, with the epochs of the log given.
 func readersIn(
 	t *testing.T, members feed.Members, epochs *epoch.Watch,
 ) (first, second *follower.Tail, store *store, log *feed.Log) {
@@ -79,9 +79,9 @@
 	return follower.Page{Next: 1, Whole: true, Records: []follower.Record{{Key: key, Value: []byte("1")}}}
 }
 
-// TestReaderThatTheStoreTurnedAway has a first reader that says so: the next one is
-// asked. Sixty VMs behind one reader each asked the store, 200 times a second.
-func TestReaderThatTheStoreTurnedAway(t *testing.T) {
+// TestNextReaderIsUsedIfTheStoreDoesNotRespond has a first reader whose store does not respond: the next reader must be
+// used. When each VM called the store instead, sixty VMs behind one reader made 200 calls a second.
+func TestNextReaderIsUsedIfTheStoreDoesNotRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, store, log := readers(t, several{addresses: []string{readerAddress, secondAddress}})
 		first.Add(content("first"), time.Now())
@@ -108,8 +108,9 @@
 	})
 }
 
-// TestQuestionEndsWhenTheReaderIsTurnedAway has a question that waits there.
-func TestQuestionEndsWhenTheReaderIsTurnedAway(t *testing.T) {
+// TestWaitingReadEndsWhenTheReaderLosesItsSource has a read that waits at a reader while the store stops responding to
+// it: the read must end at once, and the next one go to another reader.
+func TestWaitingReadEndsWhenTheReaderLosesItsSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, _, log := readers(t, several{addresses: []string{readerAddress, secondAddress}})
 		first.Add(content("first"), time.Now())
@@ -125,9 +126,9 @@
 	})
 }
 
-// TestStartReadsThroughOthers has a VM that knows the others some milliseconds after its
-// start, and a reader that has read nothing yet: it made four calls to the store by itself.
-func TestStartReadsThroughOthers(t *testing.T) {
+// TestStartReadsFromPeers has a VM that discovers its peers some milliseconds after its start, and a reader without
+// content yet. It must wait for both; without waiting it made four calls to the store.
+func TestStartReadsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known := time.Now().Add(20 * time.Millisecond)
 		first, _, store, log := readers(t, several{addresses: []string{readerAddress}, known: known})
@@ -139,7 +140,7 @@
 	})
 }
 
-// TestStartAloneReadsTheStore has a VM that never learns of others.
+// TestStartAloneReadsTheStore has a VM that never discovers a peer: it must read the store after one bounded wait.
 func TestStartAloneReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, _, store, log := readers(t, several{known: time.Now().Add(time.Hour)})
@@ -155,7 +156,7 @@
 	})
 }
 
-// turnedAway is a VM whose readers have all been turned away by the store.
+// turnedAway is the membership of a VM to whose readers the store does not respond.
 type turnedAway struct{}
 
 func (turnedAway) Others(int) ([]string, bool) { return nil, true }
@@ -164,10 +165,10 @@
 	return feed.Role{Serves: true, Before: []string{readerAddress, secondAddress}}
 }
 
-// TestStoreThatIsAwayIsAskedByFew has the store away for eight seconds: a VM that has two
-// readers before it asks each three seconds, and learns through them at once when it is
-// back. With 295 VMs that each asked it cost 7,000 calls and 0.07 of worth.
-func TestStoreThatIsAwayIsAskedByFew(t *testing.T) {
+// TestUnavailableStoreIsCalledByFewVMs has the store unavailable for 8 s: a VM that is preceded by two readers must call
+// it only every 3 s, and receive content through the readers as soon as the store recovers. When each of 295 VMs kept
+// calling the store, this made 7,000 calls.
+func TestUnavailableStoreIsCalledByFewVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, store, log := readers(t, turnedAway{})
 		first.Add(content("first"), time.Now())
@@ -175,28 +176,28 @@
 		second.Add(content("second"), time.Now())
 		second.Lose()
 		store.away = true
-		back := time.Now().Add(8 * time.Second)
+		recovery := time.Now().Add(8 * time.Second)
 		time.AfterFunc(8*time.Second, func() {
 			first.Add(content("first"), time.Now())
 			second.Add(content("second"), time.Now())
 		})
-		for time.Now().Before(back) {
+		for time.Now().Before(recovery) {
 			_, err := log.Read(t.Context(), follower.Position{}, time.Second)
 			if err == nil {
 				break
 			}
-			assert.Assert(t, time.Now().Before(back.Add(time.Second)))
+			assert.Assert(t, time.Now().Before(recovery.Add(time.Second)))
 		}
-		assert.Assert(t, !time.Now().Before(back), "it was served by nobody before")
-		assert.Assert(t, time.Since(back) < 20*time.Millisecond, "%s", time.Since(back))
+		assert.Assert(t, !time.Now().Before(recovery), "no content is available during the outage")
+		assert.Assert(t, time.Since(recovery) < 20*time.Millisecond, "%s", time.Since(recovery))
 		assert.Assert(t, store.calls <= 3, "%d calls", store.calls)
 	})
 }
 
-// TestStoreThatDroppedItsHistoryHasAnswered has a VM with two readers before it that the store turned away: the store
-// answered it that the changes it wants are gone, and that counted as no answer. So it waited for these readers for 1.2 s
-// and more, and was at a configuration of 5.5 s before.
-func TestStoreThatDroppedItsHistoryHasAnswered(t *testing.T) {
+// TestTrimmedStoreCountsAsAvailable has a VM that is preceded by two readers to which the store does not respond, while
+// the store responds to the VM itself that the requested changes are trimmed. When that counted as a failure, the VM
+// waited 1.2 s or more for the readers, with a configuration that was 5.5 s old.
+func TestTrimmedStoreCountsAsAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, store, log := readers(t, turnedAway{})
 		first.Add(content("first"), time.Now())
@@ -214,7 +215,8 @@
 	})
 }
 
-// cutOff is a VM whose readers were turned away by the store when it heard of them last, and are not reached now.
+// cutOff is the membership of a VM whose readers last reported that the store does not respond, and that are unreachable
+// now.
 type cutOff struct{}
 
 func (cutOff) Others(int) ([]string, bool) { return nil, true }
@@ -223,9 +225,9 @@
 	return feed.Role{Serves: true, Before: []string{"10.0.0.8:7340", "10.0.0.9:7340"}}
 }
 
-// TestReadersThatAreNotReachedSayNothingOfTheStore has a VM that the store did not answer once, and whose readers are cut
-// off from it: it asked the store each 3 s only, since it waited for these.
-func TestReadersThatAreNotReachedSayNothingOfTheStore(t *testing.T) {
+// TestUnreachableReadersDoNotDelayTheStore has a VM to which the store failed to respond once, and whose readers are
+// unreachable: it must call the store again at once. When it waited for the readers, it called the store only every 3 s.
+func TestUnreachableReadersDoNotDelayTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, _, store, log := readers(t, cutOff{})
 		store.away = true
--- a/internal/feed/settings.go
+++ b/internal/feed/settings.go
@@ -2,43 +2,42 @@
 
 import "time"
 
-// Settings tune the feed.
+// Settings control how VMs read logs from each other.
 type Settings struct {
-	// MinMembers is how many live VMs a data centre must have for one of them to
-	// read for the others. With few, reading directly costs no more.
+	// MinMembers is the number of live VMs that a data centre must have before VMs read from each other.
+	// With fewer, direct reads make no more calls to the store.
 	MinMembers int `yaml:"min_members" validate:"min=2"`
-	// Margin is kept of the bound on new configurations. What another VM tells
-	// is taken only while it, and the next question, fit into the rest.
+	// Margin is reserved from the time within which a change must arrive. A page of a peer
+	// is used only if its age and the next read fit into the remainder.
 	Margin time.Duration `yaml:"margin" validate:"min=0"`
-	// ReaderPart is the part of the age that another VM's content may have for which a question may wait at the store when
-	// others depend on the answer: what they get is as old as that at times, and the rest is for their own questions.
+	// StoreWaitFraction is the wait of a reader at the store, as a fraction of the largest age at which its peers use a
+	// page: a page may become that old while the reader waits, and the remainder is for the reads of the peers.
 	ReaderPart float64 `yaml:"reader_part" validate:"min=0,max=0.9"`
-	// Avoid is how long a VM is not asked that did not answer, and AvoidLost how long
-	// one that said that it has nothing to tell: it tries to get it all the time.
+	// AvoidTime is how long a reader that failed is not used, and AvoidTimeNoContent how long one that responded without
+	// content is not used. The latter is shorter, since such a reader keeps calling the store.
 	Avoid     time.Duration `yaml:"avoid" validate:"min=10ms"`
 	AvoidLost time.Duration `yaml:"avoid_lost" validate:"min=10ms"`
-	// Tries is how many other VMs are asked before the store, while the first of them
-	// answers within Patience that it does not know. Else all VMs behind one reader that the
-	// store turns away call it.
+	// MaxReaders is how many readers are tried before the store; a further one is tried only while the attempts
+	// before took at most ResponseTimeout. With one reader only, all VMs behind a reader to which the store does not
+	// respond would call the store.
 	Tries int `yaml:"tries" validate:"min=1"`
-	// Probe is the time between questions to a store that answered neither this VM nor
-	// those that read it before this one. Meanwhile it waits for their answers, so that
-	// many VMs do not all ask a store that is away.
+	// ProbeInterval is the time between calls to a store that responds neither to this VM nor to the readers that
+	// precede it. In between, the VM waits for content from these readers, so that an unavailable store is not
+	// called by all VMs.
 	Probe time.Duration `yaml:"probe" validate:"min=10ms"`
-	// Meet is how long after its start a VM waits at most until it knows whom to ask:
-	// each that reads the store meanwhile calls it more often. MeetFirst is the same
-	// where all VMs start for the first time: nobody is asked before all are there, which
-	// takes longer, and nobody calls yet.
+	// MembersTimeout bounds how long after its start a VM waits until the members are known, since a VM that reads the
+	// store in the meantime makes more calls to it. FirstMembersTimeout replaces it when all VMs start for the first
+	// time: discovery takes longer then, and no request is waiting yet.
 	Meet      time.Duration `yaml:"meet" validate:"min=0,max=10s"`
 	MeetFirst time.Duration `yaml:"meet_first" validate:"min=0,max=10s"`
-	// Wait is how long a question to another VM waits.
+	// Wait is how long a read from a peer waits for a change.
 	Wait time.Duration `yaml:"wait" validate:"min=0,max=30s"`
-	// Patience is how long an answer may take beyond Wait.
+	// ResponseTimeout is how long a response of a peer may take in addition to Wait.
 	Patience time.Duration `yaml:"patience" validate:"min=10ms"`
 }
 
-// DefaultSettings returns settings for the 3 s within which the users' new
-// configurations must be in force where there are many VMs.
+// DefaultSettings returns settings for many VMs where a new configuration must
+// be in force within 3 s.
 func DefaultSettings() Settings {
 	return Settings{
 		MinMembers: 6,
