--- a/internal/follower/bounded.go
+++ b/internal/follower/bounded.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Bounded is a log whose questions must be answered in time. A question that is
-// answered in several parts may take that long for each of them, so that much
-// content of a slow source is not begun again and again.
+// Bounded is a Log that limits the time of each read. If a response consists of
+// several parts, the time limit applies to each part, so that reading a large
+// amount of content from a slow source is not aborted and restarted.
 type Bounded struct {
 	log      Log
 	patience time.Duration
@@ -15,10 +15,10 @@
 
 var _ Log = Bounded{}
 
-// NewBounded returns a log of which each answer, or part of one, may take patience
-// beyond what it is asked to wait.
-func NewBounded(log Log, patience time.Duration) Bounded {
-	return Bounded{log: log, patience: patience}
+// NewBounded returns a log whose responses, and parts of responses, may take
+// timeout in addition to the requested wait.
+func NewBounded(log Log, timeout time.Duration) Bounded {
+	return Bounded{log: log, patience: timeout}
 }
 
 // Read implements Log.
@@ -28,14 +28,14 @@
 	timer := time.AfterFunc(wait+bounded.patience, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
 	extend := func() { timer.Reset(bounded.patience) }
-	return bounded.log.Read(context.WithValue(limited, partKey{}, extend), from, wait) //nolint:wrapcheck // the log says what failed
+	return bounded.log.Read(context.WithValue(limited, partKey{}, extend), from, wait) //nolint:wrapcheck // the log adds the context
 }
 
-// partKey is the key of what PartRead calls.
+// partKey is the context key of the function that PartReceived calls.
 type partKey struct{}
 
-// PartRead notes that a part of an answer has come, so that the next one has its
-// time too.
+// PartReceived restarts the time limit of a read through Bounded, after a part of
+// the response was received. Without such a limit in ctx it does nothing.
 func PartRead(ctx context.Context) {
 	if extend, ok := ctx.Value(partKey{}).(func()); ok {
 		extend()
--- a/internal/follower/bounded_test.go
+++ b/internal/follower/bounded_test.go
@@ -12,7 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/follower"
 )
 
-// parts is a log whose answer comes in parts.
+// parts is a log whose response consists of count parts, each of which takes the time each.
 type parts struct {
 	count int
 	each  time.Duration
@@ -33,28 +33,28 @@
 	return follower.Page{Next: 1}, nil
 }
 
-// TestBounded has a source that is slow, or silent: where the entries of thousands
-// of servers are read by hundreds of VMs at once, each page takes long, and reading
-// began anew whenever all of them had not come within the time for one.
+// TestBounded reads from a slow source and from one that does not respond. When
+// hundreds of VMs read the entries of thousands of servers at once, each page takes
+// long; with one time limit for all pages, reading restarted again and again.
 func TestBounded(t *testing.T) {
-	const patience = 700 * time.Millisecond
+	const timeout = 700 * time.Millisecond
 	tests := map[string]struct {
 		log      parts
 		wait     time.Duration
 		wantFail bool
 		wantTook time.Duration
 	}{
-		"one part":               {log: parts{count: 1, each: 600 * time.Millisecond}, wantTook: 600 * time.Millisecond},
-		"many slow parts":        {log: parts{count: 9, each: 600 * time.Millisecond}, wantTook: 5400 * time.Millisecond},
-		"a silent source":        {log: parts{count: 1, each: time.Minute}, wantFail: true, wantTook: patience},
-		"a wait is not silence":  {log: parts{count: 1, each: 600 * time.Millisecond}, wait: 1500 * time.Millisecond, wantTook: 2100 * time.Millisecond},
-		"silent after some time": {log: parts{count: 1, each: time.Minute}, wait: 1500 * time.Millisecond, wantFail: true, wantTook: 2200 * time.Millisecond},
+		"one part":                 {log: parts{count: 1, each: 600 * time.Millisecond}, wantTook: 600 * time.Millisecond},
+		"many slow parts":          {log: parts{count: 9, each: 600 * time.Millisecond}, wantTook: 5400 * time.Millisecond},
+		"no response":              {log: parts{count: 1, each: time.Minute}, wantFail: true, wantTook: timeout},
+		"a wait is no timeout":     {log: parts{count: 1, each: 600 * time.Millisecond}, wait: 1500 * time.Millisecond, wantTook: 2100 * time.Millisecond},
+		"no response after a wait": {log: parts{count: 1, each: time.Minute}, wait: 1500 * time.Millisecond, wantFail: true, wantTook: 2200 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				_, err := follower.NewBounded(test.log, patience).Read(t.Context(), follower.Position{}, test.wait)
+				_, err := follower.NewBounded(test.log, timeout).Read(t.Context(), follower.Position{}, test.wait)
 				assert.Equal(t, errors.Is(err, context.DeadlineExceeded), test.wantFail, "%v", err)
 				assert.Equal(t, time.Since(start), test.wantTook)
 			})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower keeps a belief current: it reads the newest values once,
-// then their changes, and knows when the question was asked that last proved
-// the belief current.
+// Package follower keeps a local copy of the values of a log up to date: it
+// reads the latest values once and then their changes, and records when the
+// copy was last confirmed to be current.
 package follower
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Follower follows one source.
+// Follower follows one source. All methods but Run may be called concurrently.
 type Follower[T any] struct {
 	source   Source[T]
 	listener Listener[T]
@@ -26,18 +26,18 @@
 	tail     *Tail
 	base     *base[T]
 
-	// proven is when the question was asked that last proved the belief. It is
-	// nil before the first answer, and never goes back.
+	// confirmedAt is the start of the last read that confirmed the values as
+	// current. It is nil before the first confirmation, and never decreases.
 	proven atomic.Pointer[time.Time]
-	// bad counts values that could not be decoded.
+	// invalid counts the values that could not be decoded.
 	bad atomic.Int64
-	// giveUp ends the question or pause under way.
+	// cancelRound ends the current read or pause.
 	giveUp atomic.Pointer[context.CancelCauseFunc]
-	// first is closed once there is a proof.
+	// confirmed is closed on the first confirmation.
 	first chan struct{}
 }
 
-// New returns a follower of source.
+// New returns a follower of source that passes changes to listener. It reads nothing before Run.
 func New[T any](
 	source Source[T], listener Listener[T], settings Settings, epochs *epoch.Watch, logger *slog.Logger,
 	now func() time.Time,
@@ -48,162 +48,166 @@
 	}
 }
 
-// Age returns how old the proof is that the belief was current. It reports
-// false before there was any.
+// Age returns the time since the values were last confirmed to be current. It
+// reports false before the first confirmation.
 func (follower *Follower[T]) Age() (time.Duration, bool) {
-	proven := follower.proven.Load()
-	if proven == nil {
+	confirmedAt := follower.proven.Load()
+	if confirmedAt == nil {
 		return 0, false
 	}
-	return follower.now().Sub(*proven), true
+	return follower.now().Sub(*confirmedAt), true
 }
 
-// Proven returns a channel that is closed once there is a proof. The listener was told before: a proof that came
-// first would cover content that is not believed any more.
+// Confirmed returns a channel that is closed on the first confirmation. The listener has received the values before:
+// otherwise the confirmation would cover values that the listener does not have yet.
 func (follower *Follower[T]) Proven() <-chan struct{} {
 	return follower.first
 }
 
-// Bad returns how many values could not be decoded.
+// InvalidCount returns how many values could not be decoded so far.
 func (follower *Follower[T]) Bad() int64 {
 	return follower.bad.Load()
 }
 
-// Renew gives up the question or pause under way and asks again at once: after a suspension the answer proves little, and the
-// time for it would run on as if there had been none.
+// Refresh ends the current read or pause and reads again at once. It is for the time after a suspension of the machine:
+// a response to the earlier read confirms only old values, and timers did not run during the suspension.
 func (follower *Follower[T]) Renew() {
-	if giveUp := follower.giveUp.Load(); giveUp != nil {
-		(*giveUp)(errRenewed)
+	if cancel := follower.giveUp.Load(); cancel != nil {
+		(*cancel)(errRenewed)
 	}
 }
 
-// Tail returns what was read, for others to read.
+// Tail returns the tail from which peers can read the values and their changes.
 func (follower *Follower[T]) Tail() *Tail {
 	return follower.tail
 }
 
-// errRenewed ends a question that is asked anew.
-var errRenewed = errors.New("asked anew")
+// errRefreshed is the cause with which Refresh cancels a round.
+var errRenewed = errors.New("read restarted by Refresh")
 
-// Run follows the source until ctx is done.
+// Run follows the source until ctx is done. It must be called once.
 func (follower *Follower[T]) Run(ctx context.Context) {
-	state := progress{pause: follower.settings.RetryMin}
+	current := progress{pause: follower.settings.RetryMin}
 	for ctx.Err() == nil {
-		round, giveUp := context.WithCancelCause(ctx)
-		follower.giveUp.Store(&giveUp)
-		state = follower.round(round, state)
-		state.hurry = errors.Is(context.Cause(round), errRenewed)
-		giveUp(nil)
+		round, cancel := context.WithCancelCause(ctx)
+		follower.giveUp.Store(&cancel)
+		current = follower.round(round, current)
+		current.hurry = errors.Is(context.Cause(round), errRenewed)
+		cancel(nil)
 	}
 }
 
-// progress is how far a follower is.
+// progress is the state of a follower between two reads.
 type progress struct {
 	position Position
-	// pause is how long it waits after the next failure.
+	// backoff is the pause after the next failure.
 	pause time.Duration
-	// lost says that the source did not answer the last question.
+	// lost says that the last read from the source failed.
 	lost bool
-	// hurry says that a proof is wanted at once.
+	// immediate says that the next read must not wait for a change, since a confirmation is needed at once.
 	hurry bool
-	// unsettled says that what was read last was, so that all is to be read again once it has settled.
+	// unsettled says that the last page was unsettled, so that all values are to be read again once the source has
+	// settled.
 	unsettled bool
 }
 
-// round asks once, waits until the next question is due, and returns how far it is then.
-func (follower *Follower[T]) round(ctx context.Context, state progress) progress {
+// round reads once, pauses until the next read may start, and returns the new progress.
+func (follower *Follower[T]) round(ctx context.Context, current progress) progress {
 	waiting := follower.settings.Wait
-	if state.lost || state.hurry {
-		waiting = 0 // the answer proves the belief; a change may take long to come
+	if current.lost || current.hurry {
+		waiting = 0 // a response without changes confirms the values; waiting for a change would delay it
 	}
-	if state.unsettled {
-		state, waiting = follower.settle(state, waiting)
+	if current.unsettled {
+		current, waiting = follower.settle(current, waiting)
 	}
-	asked := follower.now()
-	next, unsettled, err := follower.ask(ctx, state.position, waiting)
+	startedAt := follower.now()
+	next, unsettled, err := follower.ask(ctx, current.position, waiting)
 	switch {
 	case err == nil:
-		if state.lost {
-			follower.logger.Info("source regained", "source", follower.source.Name, "position", next)
+		if current.lost {
+			follower.logger.Info("source is responding again", "source", follower.source.Name, "position", next)
 			follower.listener.Regained()
 		}
-		wait.For(ctx, follower.settings.Pause-follower.now().Sub(asked))
+		wait.For(ctx, follower.settings.Pause-follower.now().Sub(startedAt))
 		return progress{position: next, pause: follower.settings.RetryMin, unsettled: unsettled}
 	case ctx.Err() != nil:
-		return state
-	case errors.Is(err, ErrTrimmed) && state.position != (Position{}):
-		follower.logger.Warn("source trimmed, reading the newest values",
-			"source", follower.source.Name, "position", state.position)
-		state.position = Position{}
-		return state
+		return current
+	case errors.Is(err, ErrTrimmed) && current.position != (Position{}):
+		follower.logger.Warn("source no longer has the requested changes; reading all values",
+			"source", follower.source.Name, "position", current.position)
+		current.position = Position{}
+		return current
 	}
-	if !state.lost {
-		state.lost = true
-		follower.logger.Warn("source lost", "source", follower.source.Name, "position", state.position, "error", err)
+	if !current.lost {
+		current.lost = true
+		follower.logger.Warn("source is not responding", "source", follower.source.Name, "position", current.position, "error", err)
 		follower.listener.Lost()
 		follower.tail.Lose()
 	}
-	wait.For(ctx, state.pause)
-	state.pause = min(2*state.pause, follower.settings.RetryMax)
-	return state
+	wait.For(ctx, current.pause)
+	current.pause = min(2*current.pause, follower.settings.RetryMax)
+	return current
 }
 
-// settleTick is the least time between questions while the source is unsettled for others.
+// minSettleWait is the smallest limit on the wait of a read while the source is unsettled.
 const settleTick = 100 * time.Millisecond
 
-// settle returns from where the next question goes, and how long it may wait, after an unsettled answer: until the
-// source has settled, and then for everything.
-func (follower *Follower[T]) settle(state progress, waiting time.Duration) (progress, time.Duration) {
-	if left := follower.settlesAt().Sub(follower.now()); left > 0 {
-		return state, min(waiting, max(left, settleTick))
+// settle returns the position and the wait of the next read after an unsettled page: until the source has settled the
+// read waits for changes, and then it requests all values.
+func (follower *Follower[T]) settle(current progress, waiting time.Duration) (progress, time.Duration) {
+	if remaining := follower.settlesAt().Sub(follower.now()); remaining > 0 {
+		return current, min(waiting, max(remaining, settleTick))
 	}
-	state.position = Position{}
-	return state, min(waiting, settleTick)
+	current.position = Position{}
+	return current, min(waiting, settleTick)
 }
 
-// ask asks for everything or for changes, for which it waits that long. It returns where to go on, and whether the
-// answer was unsettled.
+// read reads all values or changes, for which it waits up to waiting. It returns the position of the next read, and
+// whether the page was unsettled.
 func (follower *Follower[T]) ask(ctx context.Context, from Position, waiting time.Duration) (Position, bool, error) {
-	asked := follower.now()
+	startedAt := follower.now()
 	page, err := follower.source.Log.Read(ctx, from, waiting)
 	if err != nil {
-		return from, false, err //nolint:wrapcheck // the log says what failed
+		return from, false, err //nolint:wrapcheck // the log adds the context
 	}
 	if !page.Whole && page.Epoch != from.Epoch {
-		return from, false, errors.Wrap(ErrTrimmed, "changes of another epoch")
+		return from, false, errors.Wrap(ErrTrimmed, "page is of another epoch")
 	}
-	// The age of a page that another VM calls unsettled is that of a proof from before.
-	proves := page.Unsettled || follower.settled(asked)
-	page.Unsettled = page.Unsettled || !proves
+	// If a peer marks a page as unsettled, its age is that of a confirmation before the rollback, which remains valid.
+	confirms := page.Unsettled || follower.settled(startedAt)
+	page.Unsettled = page.Unsettled || !confirms
 	follower.takeOver(&page)
-	follower.prove(page, asked, proves)
+	follower.prove(page, startedAt, confirms)
 	return page.Position(), page.Unsettled, nil
 }
 
-// settled reports whether others had the time to write again, at a moment, what the source lost.
+// isSettled reports whether moment is late enough after a rollback of the source that the lost records have been
+// written again.
 func (follower *Follower[T]) settled(moment time.Time) bool {
 	return follower.epochs.Rose().IsZero() || !moment.Before(follower.settlesAt())
 }
 
-// settlesAt is until when others may write again what the source lost when the epoch last rose.
+// settledAt returns the end of the time in which the records that the source lost in the last rollback may be written
+// again.
 func (follower *Follower[T]) settlesAt() time.Time {
 	return follower.epochs.Rose().Add(follower.settings.Settle)
 }
 
-// takeOver tells the listener what counts of a page, and leaves just that in it.
+// applyPage merges a page into the values, passes the resulting changes to the listener, and replaces the records of
+// the page by them.
 func (follower *Follower[T]) takeOver(page *Page) {
-	read := follower.decode(page.Records)
+	entries := follower.decode(page.Records)
 	now := follower.now()
 	if page.Whole {
-		read = follower.base.replace(read, page.Unsettled, now)
+		entries = follower.base.replace(entries, page.Unsettled, now)
 	} else {
-		read = follower.base.change(read, now)
+		entries = follower.base.change(entries, now)
 	}
-	page.Records = make([]Record, 0, len(read))
-	changes := make([]Change[T], 0, len(read))
-	for _, held := range read {
-		page.Records = append(page.Records, held.record)
-		changes = append(changes, held.change)
+	page.Records = make([]Record, 0, len(entries))
+	changes := make([]Change[T], 0, len(entries))
+	for _, entry := range entries {
+		page.Records = append(page.Records, entry.record)
+		changes = append(changes, entry.change)
 	}
 	switch {
 	case page.Whole:
@@ -213,27 +217,28 @@
 	}
 }
 
-// prove notes that a page proves the belief, unless it does not: others may not have written again what the source
-// lost, or it has an older value. Otherwise a key that was removed would be accepted again.
-func (follower *Follower[T]) prove(page Page, asked time.Time, proves bool) {
+// confirm adds a page to the tail, and records that it confirms the values if confirms is true and, for a strict source,
+// no value is outdated. A page of an unsettled source or with outdated values must not confirm them: a key that was
+// removed would be accepted again.
+func (follower *Follower[T]) prove(page Page, startedAt time.Time, confirms bool) {
 	last := follower.proven.Load()
-	if !proves || (follower.source.Strict && len(follower.base.behind) > 0) {
+	if !confirms || (follower.source.Strict && len(follower.base.behind) > 0) {
 		follower.tail.Add(page, time.Time{})
 		return
 	}
-	proven := asked.Add(-page.Age)
-	follower.tail.Add(page, proven)
-	if last == nil || proven.After(*last) {
-		follower.proven.Store(&proven)
+	confirmedAt := startedAt.Add(-page.Age)
+	follower.tail.Add(page, confirmedAt)
+	if last == nil || confirmedAt.After(*last) {
+		follower.proven.Store(&confirmedAt)
 	}
 	if last == nil {
 		close(follower.first)
 	}
 }
 
-// decode decodes records. One that cannot be decoded is logged and counted.
+// decode decodes records. A record that cannot be decoded is logged and counted.
 func (follower *Follower[T]) decode(records []Record) []held[T] {
-	read := make([]held[T], 0, len(records))
+	entries := make([]held[T], 0, len(records))
 	for _, record := range records {
 		change := Change[T]{Key: record.Key}
 		if len(record.Value) > 0 {
@@ -242,7 +247,7 @@
 				continue
 			}
 			if err != nil {
-				follower.logger.Error("record not understood",
+				follower.logger.Error("could not decode record",
 					"source", follower.source.Name, "key", record.Key, "error", err)
 				follower.bad.Add(1)
 				if !follower.source.TellBad {
@@ -253,7 +258,7 @@
 				change.Value = &value
 			}
 		}
-		read = append(read, held[T]{record: record, change: change})
+		entries = append(entries, held[T]{record: record, change: change})
 	}
-	return read
+	return entries
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -16,18 +16,18 @@
 )
 
 var (
-	errDown = errors.New("down")
-	errOdd  = errors.New("odd")
+	errDown    = errors.New("source is down")
+	errInvalid = errors.New("invalid value")
 )
 
-// source is a scripted log: a list of values with one key each.
+// source is a log of values with one key each, which a test can change.
 type source struct {
 	mu     sync.Mutex
 	values []string
-	// first is the oldest offset that is kept.
+	// first is the oldest offset that is not trimmed.
 	first int64
 	down  bool
-	// age is what pages say of their age.
+	// age is the age of all pages.
 	age time.Duration
 }
 
@@ -35,8 +35,8 @@
 
 func (source *source) Read(ctx context.Context, position follower.Position, wait time.Duration) (follower.Page, error) {
 	source.mu.Lock()
-	offset, some := position.Offset()
-	page := follower.Page{Whole: !some, Age: source.age}
+	offset, hasOffset := position.Offset()
+	page := follower.Page{Whole: !hasOffset, Age: source.age}
 	page.Records = source.from(max(0, offset))
 	page.Next = max(0, offset) + int64(len(page.Records))
 	down, trimmed := source.down, !page.Whole && offset < source.first
@@ -70,8 +70,8 @@
 		Wait: time.Second, Patience: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
 	}
 	decode := func(_ string, value []byte) (string, error) {
-		if string(value) == "odd" {
-			return "", errOdd
+		if string(value) == "invalid" {
+			return "", errInvalid
 		}
 		return string(value), nil
 	}
@@ -85,52 +85,52 @@
 	change(source)
 }
 
-// listener notes what it is told.
+// listener records the calls of its methods.
 type listener struct {
-	mu   sync.Mutex
-	told []string
+	mu       sync.Mutex
+	received []string
 }
 
 var _ follower.Listener[string] = (*listener)(nil)
 
-func (listener *listener) note(text string) {
+func (listener *listener) record(text string) {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
-	listener.told = append(listener.told, text)
+	listener.received = append(listener.received, text)
 }
 
 func (listener *listener) Replace(values []follower.Change[string]) {
-	listener.note("replace")
+	listener.record("replace")
 	listener.Apply(values)
 }
 
 func (listener *listener) Apply(changes []follower.Change[string]) {
 	for _, change := range changes {
-		listener.note(change.Key)
+		listener.record(change.Key)
 	}
 }
 
-func (listener *listener) Lost()     { listener.note("lost") }
-func (listener *listener) Regained() { listener.note("regained") }
+func (listener *listener) Lost()     { listener.record("lost") }
+func (listener *listener) Regained() { listener.record("regained") }
 
 func TestRun(t *testing.T) {
 	tests := map[string]struct {
 		steps []func(*source)
 		want  []string
 	}{
-		"newest first, then changes": {
+		"all values, then changes": {
 			steps: []func(*source){func(source *source) { source.values = append(source.values, "b") }},
 			want:  []string{"replace", "a", "b"},
 		},
-		"a gap reads the newest again": {
+		"trimmed changes, then all values": {
 			steps: []func(*source){func(source *source) {
 				source.values = append(source.values, "b", "c")
 				source.first = 2
 			}},
 			want: []string{"replace", "a", "replace", "a", "b", "c"},
 		},
-		"what is not understood is left out": {
-			steps: []func(*source){func(source *source) { source.values = append(source.values, "odd", "c") }},
+		"invalid values are left out": {
+			steps: []func(*source){func(source *source) { source.values = append(source.values, "invalid", "c") }},
 			want:  []string{"replace", "a", "c"},
 		},
 		"lost and regained once each": {
@@ -159,14 +159,14 @@
 				time.Sleep(5 * time.Second)
 				stop()
 				<-done
-				assert.DeepEqual(t, listener.told, test.want)
+				assert.DeepEqual(t, listener.received, test.want)
 			})
 		})
 	}
 }
 
-// TestAge has the age of the proof: it counts from the question, and grows
-// while nothing is answered.
+// TestAge checks the age of the last confirmation: it counts from the start of the
+// read, and grows while the source does not respond.
 func TestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scripted := &source{values: []string{"a"}}
@@ -179,7 +179,7 @@
 		time.Sleep(3500 * time.Millisecond)
 		age, known := followed.Age()
 		assert.Assert(t, known)
-		assert.Equal(t, age, 1500*time.Millisecond, "asked at 2 s, answered at 3 s")
+		assert.Equal(t, age, 1500*time.Millisecond, "read started at 2 s and ended at 3 s")
 		scripted.set(func(source *source) { source.down = true })
 		time.Sleep(10 * time.Second)
 		age, _ = followed.Age()
@@ -187,16 +187,16 @@
 		scripted.set(func(source *source) { source.down = false })
 		time.Sleep(1100 * time.Millisecond)
 		age, _ = followed.Age()
-		assert.Assert(t, age <= 1100*time.Millisecond, "the first question after a loss does not wait")
+		assert.Assert(t, age <= 1100*time.Millisecond, "the first read after a failure does not wait for a change")
 	})
 }
 
-// TestTail has what one reads of another's tail.
+// TestTail reads all values and changes from a tail, and checks their age.
 func TestTail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tail := follower.NewTail(time.Now)
 		_, err := tail.Read(t.Context(), follower.Position{}, 0)
-		assert.Assert(t, err != nil, "nothing was read yet")
+		assert.Assert(t, err != nil, "the tail is empty")
 		record := func(key, value string) follower.Record {
 			return follower.Record{Key: key, Value: []byte(value)}
 		}
@@ -213,51 +213,52 @@
 		assert.DeepEqual(t, page, follower.Page{Next: 12, Records: []follower.Record{{Key: "b"}}, Age: 300 * time.Millisecond})
 		page, err = tail.Read(t.Context(), follower.At(0, 3), time.Second)
 		assert.NilError(t, err)
-		assert.Assert(t, page.Whole, "what is not kept any more is told whole")
-		// A newer proof answers a question that waits, and makes it younger.
+		assert.Assert(t, page.Whole, "all values replace changes that are no longer kept")
+		// A later confirmation ends a waiting read, and reduces the age.
 		time.AfterFunc(200*time.Millisecond, func() { tail.Add(follower.Page{Next: 12}, time.Now()) })
 		started := time.Now()
 		page, err = tail.Read(t.Context(), follower.At(0, 12), time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, time.Since(started), 200*time.Millisecond)
-		assert.Equal(t, page.Age, -200*time.Millisecond, "proven after the question was asked")
+		assert.Equal(t, page.Age, -200*time.Millisecond, "confirmed after the start of the read")
 		page, err = tail.Read(t.Context(), follower.At(0, 12), time.Second)
 		assert.NilError(t, err)
-		assert.Equal(t, page.Age, time.Duration(0), "nothing came: proven when the question was asked")
+		assert.Equal(t, page.Age, time.Duration(0), "no update: confirmed at the start of the read")
 	})
 }
 
-// TestChainNeverLooksYounger follows a follower, whose source goes away.
-func TestChainNeverLooksYounger(t *testing.T) {
+// TestAgeNeverDecreasesAlongAChain has a follower that reads from another one, whose source stops responding: the age at
+// the second follower must never be below that at the first one.
+func TestAgeNeverDecreasesAlongAChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scripted := &source{values: []string{"a"}}
-		near := scripted.follow(&listener{})
-		far := follower.New(follower.Source[string]{
-			Name: "far", Log: near.Tail(), Decode: func(_ string, value []byte) (string, error) { return string(value), nil },
+		first := scripted.follow(&listener{})
+		second := follower.New(follower.Source[string]{
+			Name: "second", Log: first.Tail(), Decode: func(_ string, value []byte) (string, error) { return string(value), nil },
 		}, &listener{}, follower.Settings{
 			Wait: time.Second, Patience: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
 		}, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go near.Run(ctx)
-		go far.Run(ctx)
+		go first.Run(ctx)
+		go second.Run(ctx)
 		for step := range 100 {
 			time.Sleep(170 * time.Millisecond)
 			if step == 50 {
 				scripted.set(func(source *source) { source.down = true })
 			}
-			nearAge, _ := near.Age()
-			farAge, known := far.Age()
+			firstAge, _ := first.Age()
+			secondAge, known := second.Age()
 			if known {
-				assert.Assert(t, farAge >= nearAge, "step %d: %s and %s", step, farAge, nearAge)
+				assert.Assert(t, secondAge >= firstAge, "step %d: %s and %s", step, secondAge, firstAge)
 			}
 		}
-		age, _ := far.Age()
+		age, _ := second.Age()
 		assert.Assert(t, age > 8*time.Second)
 	})
 }
 
-// orderListener notes whether there was a proof when it was told.
+// orderListener records whether the follower was confirmed before the listener received the values.
 type orderListener struct {
 	followed *follower.Follower[string]
 	early    bool
@@ -281,8 +282,9 @@
 
 func (*orderListener) Regained() {}
 
-// TestProofComesAfterTheContent has who waits for a proof find both the content and its age.
-func TestProofComesAfterTheContent(t *testing.T) {
+// TestConfirmationFollowsTheValues checks that a confirmation comes after the listener received the values, and with an
+// age: whoever waits for it would otherwise use outdated values.
+func TestConfirmationFollowsTheValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -295,8 +297,8 @@
 		listener.followed = followed
 		go followed.Run(ctx)
 		<-followed.Proven()
-		_, proven := followed.Age()
-		assert.Assert(t, proven)
+		_, known := followed.Age()
+		assert.Assert(t, known)
 		assert.Assert(t, !listener.early)
 		time.Sleep(3 * time.Second)
 		stop()
--- a/internal/follower/log.go
+++ b/internal/follower/log.go
@@ -11,30 +11,30 @@
 	"github.com/mastwinch/mastwinch/internal/epoch"
 )
 
-// ErrTrimmed says that the changes asked for are not kept any more.
-var ErrTrimmed = errors.New("changes are not kept any more")
+// ErrTrimmed is returned if the requested changes are no longer available, so that all values must be read.
+var ErrTrimmed = errors.New("changes have been trimmed")
 
 var _ slog.LogValuer = Position{}
 
-// Position is a place in a log. The zero value is before everything: it asks for the newest value of all keys.
+// Position is a position in a log. The zero value requests the latest value of every key.
 type Position struct {
-	// Epoch is the one in which the offset counts.
+	// Epoch is the epoch in which the offset is valid.
 	Epoch epoch.Number
-	// next is one more than the offset, so that the zero value is none.
+	// next is the offset plus one, so that the zero value means no offset.
 	next int64
 }
 
-// At returns the position of an offset, which is never below zero.
+// At returns the position of an offset in an epoch. The offset must not be negative.
 func At(number epoch.Number, offset int64) Position {
 	return Position{Epoch: number, next: offset + 1}
 }
 
-// Offset returns the offset. It reports false for the position before everything.
+// Offset returns the offset. It reports false for the zero position, which has none.
 func (position Position) Offset() (int64, bool) {
 	return position.next - 1, position.next > 0
 }
 
-// Record is a value of a key as the source keeps it.
+// Record is a key with its value as stored in the source.
 type Record struct {
 	Key string
 	// Value is empty when the key was dropped.
@@ -43,40 +43,40 @@
 
 // LogValue implements slog.LogValuer.
 func (position Position) LogValue() slog.Value {
-	offset, some := position.Offset()
-	if !some {
-		return slog.StringValue("before everything")
+	offset, hasOffset := position.Offset()
+	if !hasOffset {
+		return slog.StringValue("all values")
 	}
 	return slog.StringValue(fmt.Sprintf("%d in epoch %d", offset, position.Epoch))
 }
 
-// Page is an answer of a log.
+// Page is the response of a log to a read.
 type Page struct {
 	Records []Record
-	// Epoch is the one in which the source answered.
+	// Epoch is the epoch of the source at the time of the response.
 	Epoch epoch.Number
-	// Next is the offset from which later changes are to be read.
+	// Next is the offset of the next change.
 	Next int64
-	// Whole says that Records has the newest values of all keys, and not
+	// Snapshot says that Records has the latest values of all keys, and not
 	// changes.
 	Whole bool
-	// Age is how old the content may have been when the question was asked. It
-	// is below zero when the content was proven after that.
+	// Age is the time from the last confirmation of the content as current to
+	// the start of the read. It is negative if the confirmation was later.
 	Age time.Duration
-	// Unsettled says that the source came back older a moment ago, so that others may not have written again yet:
-	// the page is as new as there is, and proves nothing.
+	// Unsettled says that the source was rolled back recently, and that records lost in the rollback may not have been
+	// written again yet: no newer page exists, but this one confirms nothing.
 	Unsettled bool
 }
 
-// Position returns where later changes are to be read.
+// Position returns the position of the next read.
 func (page Page) Position() Position {
 	return At(page.Epoch, page.Next)
 }
 
-// Log gives values and their changes, in order.
+// Log is an ordered log of values and their changes.
 type Log interface {
-	// Read returns the changes from a position on, or everything. It waits that long
-	// for the first change, and returns ErrTrimmed when there is a gap, as there is where the
-	// position is of another epoch.
+	// Read returns the changes since a position, or all values for the zero position. It
+	// waits up to wait for the first change. It returns ErrTrimmed if changes are missing,
+	// for example because the position is of another epoch.
 	Read(ctx context.Context, from Position, wait time.Duration) (Page, error)
 }
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -2,48 +2,48 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrOtherKey is returned by decoders for keys that are not their matter.
-var ErrOtherKey = errors.New("another key")
+// ErrIgnoredKey is returned by decoders for keys that do not belong to the source; their records are skipped.
+var ErrOtherKey = errors.New("key does not belong to the source")
 
-// Change is a new value of a key, or none when the key was dropped.
+// Change is a new value of a key, or the removal of the key.
 type Change[T any] struct {
 	Key string
-	// Value is nil when the key was dropped.
+	// Value is nil if the key was dropped or its value is invalid.
 	Value *T
-	// Bad says that the key has a value that cannot be decoded.
+	// Invalid says that the value of the key cannot be decoded.
 	Bad bool
 }
 
-// Source is a log and how its values are decoded.
+// Source is a log together with the decoder of its values.
 type Source[T any] struct {
-	// Name is for the log lines.
+	// Name identifies the source in log lines.
 	Name string
 	Log  Log
-	// Decode returns ErrOtherKey for keys that are not its matter.
+	// Decode returns ErrIgnoredKey for keys that do not belong to the source.
 	Decode func(key string, value []byte) (T, error)
-	// Newer reports whether a value is of a later moment than another one of its key, whichever is read later. It is
-	// nil where what is read later is newer.
+	// Newer reports whether a is newer than b, where both are values of the same key and may be read in any order. If it
+	// is nil, the value read last is the newest.
 	Newer func(a, b T) bool
-	// Strict says that nothing is proven while the source has an older value than is believed.
+	// Strict says that no page confirms the values while the source has an older value than the current one of any key.
 	Strict bool
-	// TellBad says that the listener is told of values that cannot be decoded. Otherwise the value before
-	// stays.
+	// ReportInvalid says that a value that cannot be decoded is passed to the listener as an invalid change.
+	// Otherwise the previous value stays.
 	TellBad bool
 }
 
-// WithLog returns the source with another log.
+// WithLog returns a copy of the source that reads from log.
 func (source Source[T]) WithLog(log Log) Source[T] {
 	source.Log = log
 	return source
 }
 
-// Listener is told of changes, in order.
+// Listener receives changes in order. Its methods are called by one goroutine.
 type Listener[T any] interface {
-	// Replace takes over the whole state.
+	// Replace replaces all values.
 	Replace(values []Change[T])
-	// Apply takes over changes.
+	// Apply applies changes to the values.
 	Apply(changes []Change[T])
-	// Lost notes that the source did not answer, and Regained that it does.
+	// Lost is called when the source stops responding, and Regained when it responds again.
 	Lost()
 	Regained()
 }
--- a/internal/follower/tail.go
+++ b/internal/follower/tail.go
@@ -12,41 +12,42 @@
 	"github.com/mastwinch/mastwinch/internal/epoch"
 )
 
-// maxTail is how many changes a tail keeps. Who needs older ones gets the newest
-// values.
+// maxTailChanges is how many changes a tail keeps. A read from an earlier position
+// returns all values.
 const maxTail = 512
 
-// Tail keeps what was read of a log, so that others can read it here.
+// Tail keeps the latest values and the most recent changes of a log, so that peers can read them from this VM. It is safe
+// for concurrent use.
 type Tail struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	values map[string][]byte
-	// epoch is the one in which next counts.
+	// epoch is the epoch in which next is valid.
 	epoch epoch.Number
-	// unsettled says that what was read last was.
+	// unsettled says that the last page was unsettled.
 	unsettled bool
-	// changes ends before next.
+	// changes has the most recent changes; the last one has the offset next-1.
 	changes []Record
 	next    int64
-	// proven is when the question was asked that last proved this current. It is
-	// zero before the first.
+	// confirmedAt is the start of the read that last confirmed the content as
+	// current. It is zero before the first confirmation.
 	proven time.Time
-	// lost says that the last question for more was not answered.
+	// lost says that the source is not responding.
 	lost bool
-	// renewed is closed, and replaced, when there is news or a newer proof.
+	// updated is closed and replaced on each page, and when the source stops responding.
 	renewed chan struct{}
 }
 
 var _ Log = (*Tail)(nil)
 
-// NewTail returns an empty tail.
+// NewTail returns an empty tail, whose reads fail until a confirmed page is added.
 func NewTail(now func() time.Time) *Tail {
 	return &Tail{now: now, values: make(map[string][]byte), renewed: make(chan struct{})}
 }
 
-// Add takes over a page that was proven at that time, or never if that is zero.
-func (tail *Tail) Add(page Page, proven time.Time) {
+// Add adds a page that was confirmed at the time given; a zero time means not confirmed.
+func (tail *Tail) Add(page Page, confirmedAt time.Time) {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
 	if page.Whole {
@@ -68,24 +69,24 @@
 	}
 	tail.lost = false
 	tail.next = page.Next
-	if proven.After(tail.proven) {
-		tail.proven = proven
+	if confirmedAt.After(tail.proven) {
+		tail.proven = confirmedAt
 	}
 	close(tail.renewed)
 	tail.renewed = make(chan struct{})
 }
 
 var (
-	// errUnproven says that a tail has nothing to tell yet.
-	errUnproven = errors.New("nothing was read yet")
-	// errEarlier says that a tail has not heard yet of the epoch that who asks knows.
-	errEarlier = errors.New("nothing was read yet in that epoch")
-	// errLost says that a tail will not be renewed soon.
-	errLost = errors.New("the source does not answer")
+	// errUnconfirmed is returned if a tail has no confirmed content yet.
+	errUnproven = errors.New("no confirmed content yet")
+	// errEarlierEpoch is returned if the content of a tail is of an earlier epoch than the requested position.
+	errEarlier = errors.New("no content of the requested epoch yet")
+	// errLost is returned if the source of a tail is not responding.
+	errLost = errors.New("source is not responding")
 )
 
-// Lose notes that the source does not answer, until a page comes. Who reads here had
-// better read elsewhere, before what is known here is too old for it.
+// MarkLost records that the source is not responding, until the next page is added. Reads fail in the meantime, so that
+// peers switch to another source before the content of this one is too old for them.
 func (tail *Tail) Lose() {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
@@ -97,45 +98,46 @@
 	tail.renewed = make(chan struct{})
 }
 
-// Lost reports whether the source does not answer.
+// Lost reports whether the source is not responding.
 func (tail *Tail) Lost() bool {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
 	return tail.lost
 }
 
-// Read implements Log. It answers as soon as there is a change or a newer proof.
+// Read implements Log. It returns as soon as there is a change or a later confirmation.
 func (tail *Tail) Read(ctx context.Context, from Position, wait time.Duration) (Page, error) {
-	return tail.read(ctx, from, wait, errUnproven, errEarlier) // the first page is on its way
+	return tail.read(ctx, from, wait, errUnproven, errEarlier) // the first page of the source is expected soon
 }
 
-// Await is Read for those who have nobody better to ask: it waits for the source to
-// answer again.
+// Await is like Read, but if the source is not responding it waits for it to respond
+// again. It is for peers that have no other source.
 func (tail *Tail) Await(ctx context.Context, from Position, wait time.Duration) (Page, error) {
 	return tail.read(ctx, from, wait, errUnproven, errEarlier, errLost)
 }
 
-// read waits for news, or for the end of one of the errors.
-func (tail *Tail) read(ctx context.Context, from Position, wait time.Duration, passing ...error) (Page, error) {
-	asked := tail.now()
-	page, renewed, err := tail.page(from, asked)
-	if (err != nil && !errors.IsAny(err, passing...)) || len(page.Records) > 0 || wait <= 0 {
+// read waits for an update if there are no changes, or if the error is one of retryable.
+func (tail *Tail) read(ctx context.Context, from Position, wait time.Duration, retryable ...error) (Page, error) {
+	startedAt := tail.now()
+	page, updated, err := tail.page(from, startedAt)
+	if (err != nil && !errors.IsAny(err, retryable...)) || len(page.Records) > 0 || wait <= 0 {
 		return page, err
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	select {
-	case <-renewed:
+	case <-updated:
 	case <-timeout.C:
 	case <-ctx.Done():
 		return Page{}, errors.WithStack(ctx.Err())
 	}
-	page, _, err = tail.page(from, asked)
+	page, _, err = tail.page(from, startedAt)
 	return page, err
 }
 
-// page returns what there is from a position on for a question of that time.
-func (tail *Tail) page(from Position, asked time.Time) (Page, <-chan struct{}, error) {
+// page returns the content since a position for a read that started at startedAt, and a channel that is closed on the next
+// update.
+func (tail *Tail) page(from Position, startedAt time.Time) (Page, <-chan struct{}, error) {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
 	if tail.proven.IsZero() {
@@ -147,10 +149,10 @@
 	if from.Epoch > tail.epoch {
 		return Page{}, tail.renewed, errEarlier
 	}
-	page := Page{Epoch: tail.epoch, Next: tail.next, Age: asked.Sub(tail.proven), Unsettled: tail.unsettled}
-	offset, some := from.Offset()
+	page := Page{Epoch: tail.epoch, Next: tail.next, Age: startedAt.Sub(tail.proven), Unsettled: tail.unsettled}
+	offset, hasOffset := from.Offset()
 	missing := tail.next - offset
-	if some && from.Epoch == tail.epoch && missing >= 0 && missing <= int64(len(tail.changes)) {
+	if hasOffset && from.Epoch == tail.epoch && missing >= 0 && missing <= int64(len(tail.changes)) {
 		page.Records = slices.Clone(tail.changes[int64(len(tail.changes))-missing:])
 		return page, tail.renewed, nil
 	}
--- /dev/null
+++ b/internal/follower/value_set.go
@@ -0,0 +1,117 @@
+package follower
+
+import (
+	"maps"
+	"time"
+)
+
+// valueSet has the current values of a source. It merges what is read into them and keeps a value that is newer than
+// the one read.
+type base[T any] struct {
+	// newer reports whether a is newer than b.
+	newer func(a, b T) bool
+	// values has the current values by key.
+	values map[string]held[T]
+	// dropped has recently dropped values by key.
+	dropped map[string]held[T]
+	// outdated has the keys for which the source returned an older value than the current one.
+	behind map[string]bool
+}
+
+// entry is a value as it was read.
+type held[T any] struct {
+	record Record
+	change Change[T]
+	// droppedAt is when the value was dropped; zero for a current value.
+	at time.Time
+}
+
+// droppedRetention is how long a dropped value is kept, in order to tell it from a new value when the source returns it
+// after a rollback. Copies from which the source is restored are some seconds old; a minute covers them.
+const droppedTime = time.Minute
+
+func newBase[T any](newer func(a, b T) bool) *base[T] {
+	if newer == nil {
+		newer = func(T, T) bool { return false }
+	}
+	return &base[T]{
+		newer: newer, values: make(map[string]held[T]), dropped: make(map[string]held[T]), behind: make(map[string]bool),
+	}
+}
+
+// isNewer reports whether both entries have a value and that of a is newer.
+func (base *base[T]) isNewer(a, b held[T]) bool {
+	return a.change.Value != nil && b.change.Value != nil && base.newer(*a.change.Value, *b.change.Value)
+}
+
+// applyChanges merges changes into the current values, and returns those that were applied.
+func (base *base[T]) change(read []held[T], now time.Time) []held[T] {
+	applied := make([]held[T], 0, len(read))
+	for _, next := range read {
+		key := next.record.Key
+		current, found := base.values[key]
+		switch {
+		case len(next.record.Value) == 0:
+			base.drop(key, now)
+		case found && base.isNewer(current, next):
+			base.behind[key] = true
+			continue
+		default:
+			base.take(next)
+		}
+		applied = append(applied, next)
+	}
+	return applied
+}
+
+// replaceAll replaces the current values by those read, and returns the resulting values. While the source is unsettled,
+// a value that is missing from those read is kept, and a dropped value that reappears is ignored unless it is newer.
+func (base *base[T]) replace(read []held[T], unsettled bool, now time.Time) []held[T] {
+	maps.DeleteFunc(base.dropped, func(_ string, entry held[T]) bool { return now.Sub(entry.at) > droppedTime })
+	values := make([]held[T], 0, len(read))
+	present := make(map[string]bool, len(read))
+	for _, next := range read {
+		key := next.record.Key
+		current, found := base.values[key]
+		previous, wasDropped := base.dropped[key]
+		switch {
+		case unsettled && wasDropped && !base.isNewer(next, previous):
+			continue
+		case found && base.isNewer(current, next):
+			base.behind[key] = true
+			next = current
+		default:
+			base.take(next)
+		}
+		present[key] = true
+		values = append(values, next)
+	}
+	for key, current := range base.values {
+		switch {
+		case present[key]:
+		case unsettled:
+			values = append(values, current)
+		default:
+			base.drop(key, now)
+		}
+	}
+	return values
+}
+
+func (base *base[T]) take(next held[T]) {
+	key := next.record.Key
+	base.values[key] = next
+	delete(base.dropped, key)
+	delete(base.behind, key)
+}
+
+func (base *base[T]) drop(key string, now time.Time) {
+	current, found := base.values[key]
+	if !found {
+		return
+	}
+	current.at = now
+	base.dropped[key] = current
+	delete(base.values, key)
+	delete(base.behind, key)
+}
