--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,6 @@
-// Package state is the fold of all records on the log: the same on every VM
-// that has read to the same offset. It does no I/O and reads no clock.
+// Package state computes the state that results from applying all records of
+// the log in order. It is the same on every VM that has applied the log up to
+// the same offset, so the package does no I/O and reads no clock.
 package state
 
 import (
@@ -14,8 +15,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// State is the fold of all log entries before Next. It is used by one
-// goroutine at a time.
+// State is the result of applying all log entries before Next. It is not safe
+// for concurrent use.
 type State struct {
 	Ledger        *ledger.Ledger
 	Configuration configuration.Configuration
@@ -24,13 +25,13 @@
 	Next uint64
 }
 
-// Result is the verdict on the record with an ID.
+// Result is the verdict on one record.
 type Result struct {
 	RecordID string
 	Verdict  fold.Verdict
 }
 
-// OrderError says that an entry was applied out of order.
+// OrderError is returned if an entry is applied before an earlier one.
 type OrderError struct {
 	Offset uint64
 	Next   uint64
@@ -38,10 +39,10 @@
 
 // Error implements error.
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("state: entry at offset %d cannot follow: next is %d", e.Offset, e.Next)
+	return fmt.Sprintf("state: entry at offset %d is out of order: expected offset %d", e.Offset, e.Next)
 }
 
-// New returns the state before the first entry.
+// New returns the state before the first log entry.
 func New() *State {
 	return &State{
 		Ledger:        ledger.New(),
@@ -50,8 +51,8 @@
 	}
 }
 
-// Apply folds the batch at offset and returns a result for each record. An
-// entry already applied changes nothing and gives no results.
+// Apply applies the batch at offset and returns one result for each record. For
+// an entry that was applied before it does nothing and returns no results.
 func (state *State) Apply(offset uint64, batch *wire.Batch) ([]Result, error) {
 	if offset < state.Next {
 		return nil, nil
@@ -62,7 +63,7 @@
 	state.Next = offset + 1
 	records := batch.GetRecords()
 	if len(records) > fold.MaxBatch {
-		// No keeper writes this; a longer entry would break version order.
+		// No keeper writes longer entries. With more records, versions would not be in log order.
 		records = records[:fold.MaxBatch]
 	}
 	results := make([]Result, 0, len(records))
@@ -99,7 +100,7 @@
 	return verdict
 }
 
-// Encode returns the state in its wire form.
+// Encode returns the state in its wire format.
 func (state *State) Encode() *wire.State {
 	encoded := &wire.State{NextOffset: state.Next}
 	state.Ledger.Encode(encoded)
@@ -108,7 +109,7 @@
 	return encoded
 }
 
-// Decode returns the state that Encode wrote.
+// Decode returns the state from the wire format that Encode returns.
 func Decode(encoded *wire.State) (*State, error) {
 	decoded, err := ledger.Decode(encoded)
 	if err != nil {
@@ -122,8 +123,8 @@
 	}, nil
 }
 
-// DecodeBatch returns the batch in a log entry. An entry that is none counts
-// as an empty one, the same for every reader.
+// DecodeBatch decodes the batch of a log entry. An entry that cannot be decoded
+// counts as an empty batch, so that every VM computes the same state.
 func DecodeBatch(data []byte) *wire.Batch {
 	batch := &wire.Batch{}
 	err := proto.Unmarshal(data, batch)
