--- a/internal/fold/fold.go
+++ b/internal/fold/fold.go
@@ -1,24 +1,24 @@
-// Package fold holds what all aggregates share that are folded from the log:
-// versions and verdicts.
+// Package fold has the types shared by all aggregates that are computed by
+// applying the records of the log in order: versions and verdicts.
 package fold
 
-// MaxBatch is the most records that one log entry may carry.
+// MaxBatch is the maximum number of records in one log entry.
 const MaxBatch = 1024
 
-// Version orders records: it is made from the offset of the log entry and the
-// place in it, and is also the fencing token of what the record granted. Zero
-// stands for "nothing yet".
+// Version orders records. It is computed from the offset of the log entry and the
+// index in it, and also serves as the fencing token of what the record granted.
+// Zero means that there is no record yet.
 type Version uint64
 
-// VersionAt returns the version of the record at index in the entry at offset.
+// VersionAt returns the version of the record at index in the log entry at offset. Index must be below MaxBatch.
 func VersionAt(offset uint64, index int) Version {
-	return Version(offset*MaxBatch + uint64(index) + 1) //nolint:gosec // below MaxBatch
+	return Version(offset*MaxBatch + uint64(index) + 1) //nolint:gosec // index is not negative and below MaxBatch
 }
 
-// Reason says why a record was refused.
+// Reason is the reason for which a record was refused. The texts are part of the protocol.
 type Reason string
 
-// Reasons for refusal.
+// Reasons for which a record is refused.
 const (
 	ReasonConflict       Reason = "version conflict"
 	ReasonContentDiffers Reason = "key stands for other content"
@@ -29,23 +29,23 @@
 	ReasonUnknownKind    Reason = "unknown kind of record"
 )
 
-// Verdict is what the fold decided about one record. Every reader of the log
-// reaches the same.
+// Verdict is the outcome of applying one record. It is the same on every VM that
+// applies the log.
 type Verdict struct {
-	// Accepted is also true for a repeat of the record that was accepted.
+	// Accepted is also true for a repetition of an accepted record.
 	Accepted bool
 	// Reason is empty exactly when Accepted is true.
 	Reason Reason
-	// Version is that of the accepted record, or zero.
+	// Version is the version of the accepted record, or zero.
 	Version Version
 }
 
-// Accept returns the verdict for a record accepted as version.
+// Accept returns the verdict for a record that is accepted with version.
 func Accept(version Version) Verdict {
 	return Verdict{Accepted: true, Version: version}
 }
 
-// Refuse returns the verdict for a refused record.
+// Refuse returns the verdict for a record that is refused for reason.
 func Refuse(reason Reason) Verdict {
 	return Verdict{Reason: reason}
 }
--- a/internal/fold/remove.go
+++ b/internal/fold/remove.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// Remove returns values without the one of a key, if it is there and of the expected version. They are never changed once
-// they are shared.
+// Remove returns a copy of values without key, if its value has the expected version. Otherwise it returns values
+// unchanged and the verdict that refuses the removal. It never modifies values, which may be shared.
 func Remove[Value any](
 	values map[string]Value, key string, versionOf func(Value) Version, expected uint64, version Version,
 ) (map[string]Value, Verdict) {
@@ -14,7 +14,7 @@
 	if uint64(versionOf(current)) != expected {
 		return values, Refuse(ReasonConflict)
 	}
-	left := maps.Clone(values)
-	delete(left, key)
-	return left, Accept(version)
+	remaining := maps.Clone(values)
+	delete(remaining, key)
+	return remaining, Accept(version)
 }
