--- a/internal/epoch/watch.go
+++ b/internal/epoch/watch.go
@@ -1,6 +1,7 @@
-// Package epoch tells the histories of the platform's store apart. The store may come back from a copy that is some
-// seconds old: what was written since is gone, offsets are given out again, and its epoch is one higher from then on.
-// An offset counts in one epoch, and so does what is missing.
+// Package epoch tracks the epoch of the platform's store, which identifies one history of its records. If the store is
+// restored from a copy that is some seconds old, it is rolled back: later records are lost, their offsets are assigned
+// again, and the epoch increases by one. An offset, and the absence of a record, are therefore meaningful in one epoch
+// only.
 package epoch
 
 import (
@@ -10,47 +11,48 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Number counts how often the store came back older than it was. Zero is that of a store that does not say.
+// Number is the number of rollbacks of the store. It is zero for a store that does not report an epoch.
 type Number int64
 
-// ErrEarlier says that an answer is of an earlier epoch than the one in force, so that it counts for nothing: it came
-// late, or from who has not heard.
-var ErrEarlier = errors.New("answer of an earlier epoch of the store")
+// ErrEarlier is returned for an epoch before the current one. A response with such an epoch must be ignored: it is
+// delayed, or its sender has not received the current epoch yet.
+var ErrEarlier = errors.New("response is of an earlier epoch of the store")
 
-// Watch is the epoch in force, as all parts of a process hear of it. It never falls.
+// Watch tracks the current epoch of the store for a whole process. The epoch never decreases. A Watch is safe for
+// concurrent use.
 type Watch struct {
 	now func() time.Time
 
 	mu      sync.Mutex
 	current Number
-	// known says that an epoch was heard of.
+	// known says that an epoch has been observed.
 	known bool
-	// rose is when the epoch last rose while this process knew the one before, or zero.
+	// increasedAt is when the epoch last increased from one that this process had observed; zero means never.
 	rose time.Time
-	// changed is closed, and replaced, when it rises.
+	// changed is closed and replaced when the epoch increases.
 	changed chan struct{}
-	// hint is the latest epoch that was hinted at, and hinted has an element when there is one to look into.
+	// hint is the highest epoch passed to Hint, and hinted has an element while it is to be checked at the store.
 	hint   Number
 	hinted chan struct{}
 }
 
-// New returns a watch that has heard of no epoch.
+// New returns a watch that has observed no epoch.
 func New(now func() time.Time) *Watch {
 	return &Watch{now: now, changed: make(chan struct{}), hinted: make(chan struct{}, 1)}
 }
 
-// Note takes over an epoch that was heard of, whoever told. It returns ErrEarlier if a later one is in force.
+// Observe records an epoch that the store or a peer reported. It returns ErrEarlier if the current epoch is later.
 func (watch *Watch) Note(number Number) error {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	switch {
 	case watch.known && number < watch.current:
-		return errors.Wrapf(ErrEarlier, "%d, %d is in force", number, watch.current)
+		return errors.Wrapf(ErrEarlier, "epoch %d, current epoch %d", number, watch.current)
 	case watch.known && number == watch.current:
 		return nil
 	case watch.known:
 		watch.rose = watch.now()
-		watch.hint = 0 // a spoilt one must not hide those that follow
+		watch.hint = 0 // a corrupted hint must not suppress later ones
 		close(watch.changed)
 		watch.changed = make(chan struct{})
 	}
@@ -59,29 +61,30 @@
 	return nil
 }
 
-// Current returns the epoch in force, and reports whether there is one.
+// Current returns the current epoch. It reports false if none has been observed.
 func (watch *Watch) Current() (Number, bool) {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	return watch.current, watch.known
 }
 
-// Rose returns when the epoch last rose while this process knew the one before, or zero.
+// IncreasedAt returns when the epoch last increased from one that this process had observed, or was marked so by Unsettle.
+// It is zero if that never happened.
 func (watch *Watch) Rose() time.Time {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	return watch.rose
 }
 
-// Changed returns a channel that is closed when the epoch rises.
+// Changed returns a channel that is closed when the epoch increases.
 func (watch *Watch) Changed() <-chan struct{} {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	return watch.changed
 }
 
-// Unsettle notes that the epoch rose a moment ago, as another process says that knew the one before. One that saw it
-// rise itself knows better.
+// Unsettle records that the epoch increased just now, as reported by another process or assumed for safety. It has no
+// effect if this process has a time of an increase already.
 func (watch *Watch) Unsettle() {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
@@ -90,8 +93,8 @@
 	}
 }
 
-// Hint notes that somebody names an epoch whose word alone is not enough: a spoilt datagram with a high number would
-// make all answers of the store earlier ones for good.
+// Hint records an epoch from an unreliable source, which must be checked at the store: if the high epoch of a corrupted
+// datagram became the current one, all responses of the store would be rejected as earlier from then on.
 func (watch *Watch) Hint(number Number) {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
@@ -105,7 +108,7 @@
 	}
 }
 
-// Hinted returns a channel that has an element when the store is to be asked for its epoch.
+// Hinted returns a channel that has an element when a hint is to be checked at the store.
 func (watch *Watch) Hinted() <-chan struct{} {
 	return watch.hinted
 }
--- a/internal/epoch/watch_test.go
+++ b/internal/epoch/watch_test.go
@@ -10,26 +10,26 @@
 	"github.com/mastwinch/mastwinch/internal/epoch"
 )
 
-// TestWatch hears of epochs in any order: the latest one is in force.
+// TestWatch observes epochs in any order: the highest one must be the current one.
 func TestWatch(t *testing.T) {
 	for name, test := range map[string]struct {
-		heard []epoch.Number
-		want  epoch.Number
-		// wantRises is how often it rose, and wantEarlier how many counted for nothing.
+		observed []epoch.Number
+		want     epoch.Number
+		// wantRises is how often the epoch increases, and wantEarlier how many observations are rejected as earlier.
 		wantRises, wantEarlier int
 	}{
-		"nothing":              {},
-		"the first one":        {heard: []epoch.Number{7}, want: 7},
-		"the same again":       {heard: []epoch.Number{7, 7}, want: 7},
-		"a later one":          {heard: []epoch.Number{7, 8}, want: 8, wantRises: 1},
-		"an earlier one":       {heard: []epoch.Number{8, 7}, want: 8, wantEarlier: 1},
-		"twice, told in turns": {heard: []epoch.Number{0, 2, 1, 3, 2, 3}, want: 3, wantRises: 2, wantEarlier: 2},
+		"no epoch":             {},
+		"the first epoch":      {observed: []epoch.Number{7}, want: 7},
+		"the same epoch twice": {observed: []epoch.Number{7, 7}, want: 7},
+		"a later epoch":        {observed: []epoch.Number{7, 8}, want: 8, wantRises: 1},
+		"an earlier epoch":     {observed: []epoch.Number{8, 7}, want: 8, wantEarlier: 1},
+		"several, interleaved": {observed: []epoch.Number{0, 2, 1, 3, 2, 3}, want: 3, wantRises: 2, wantEarlier: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			watch := epoch.New(func() time.Time { return now })
 			rises, earlier := 0, 0
-			for _, number := range test.heard {
+			for _, number := range test.observed {
 				now = now.Add(time.Second)
 				changed := watch.Changed()
 				if errors.Is(watch.Note(number), epoch.ErrEarlier) {
@@ -44,7 +44,7 @@
 			}
 			current, known := watch.Current()
 			assert.Equal(t, current, test.want)
-			assert.Equal(t, known, len(test.heard) > 0)
+			assert.Equal(t, known, len(test.observed) > 0)
 			assert.Equal(t, rises, test.wantRises)
 			assert.Equal(t, earlier, test.wantEarlier)
 			assert.Equal(t, watch.Rose().IsZero(), test.wantRises == 0)
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestHint hints at epochs: each later one than is known is worth one question, and none is believed.
+// TestHint passes hints: each epoch above the current one must cause one check at the store, and none may become the
+// current epoch.
 func TestHint(t *testing.T) {
 	watch := epoch.New(time.Now)
 	hinted := func() bool {
@@ -64,7 +65,7 @@
 		}
 	}
 	watch.Hint(3)
-	assert.Assert(t, !hinted(), "the first question is on its way")
+	assert.Assert(t, !hinted(), "the first read from the store is pending")
 	assert.NilError(t, watch.Note(1))
 	watch.Hint(1)
 	assert.Assert(t, !hinted())
@@ -72,10 +73,10 @@
 	watch.Hint(9)
 	watch.Hint(2)
 	assert.Assert(t, hinted())
-	assert.Assert(t, !hinted(), "once")
+	assert.Assert(t, !hinted(), "one check for one hint")
 	current, _ := watch.Current()
 	assert.Equal(t, current, epoch.Number(1))
 	assert.NilError(t, watch.Note(2))
 	watch.Hint(3)
-	assert.Assert(t, hinted(), "a spoilt one does not hide those that follow")
+	assert.Assert(t, hinted(), "a corrupted hint does not suppress later ones")
 }
