--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,4 +1,4 @@
-// Package events splits a series of server-sent events into whole events.
+// Package events reads a stream of server-sent events one event at a time.
 package events
 
 import (
@@ -9,35 +9,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxBytes bounds one event.
+// MaxBytes is the maximum size of one event in bytes.
 const MaxBytes = 256 << 10
 
-// ErrPartial says that the series ended within an event.
-var ErrPartial = errors.New("series ended within an event")
+// ErrPartial is returned if the stream ends within an event.
+var ErrPartial = errors.New("event stream ended within an event")
 
-// ErrTooLong says that an event has more than MaxBytes.
-var ErrTooLong = errors.New("event is too long")
+// ErrTooLong is returned for an event of more than MaxBytes.
+var ErrTooLong = errors.New("event exceeds the maximum size")
 
-// Event is one event.
+// Event is one server-sent event.
 type Event struct {
-	// ID is the event's, or empty.
+	// ID is the value of the id field, or empty.
 	ID string
-	// Raw is the event as it came, with the blank line at its end.
+	// Raw is the event as received, including the blank line at its end.
 	Raw []byte
 }
 
-// Reader reads whole events.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	buffered *bufio.Reader
 }
 
-// NewReader returns a reader of the events in source.
+// NewReader returns a reader of the events in source. It buffers, so source must not be read by other code.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{buffered: bufio.NewReader(source)}
 }
 
-// Next returns the next whole event. It returns io.EOF when the series ended
-// after a whole event, and ErrPartial when it ended within one.
+// Next returns the next complete event. It returns io.EOF if the stream ended
+// after a complete event, and ErrPartial if it ended within one.
 func (reader *Reader) Next() (Event, error) {
 	event := Event{}
 	lineStart := 0
@@ -52,7 +52,7 @@
 		case errors.Is(err, io.EOF) && len(event.Raw) > 0:
 			return Event{}, ErrPartial
 		case err != nil:
-			return Event{}, err //nolint:wrapcheck // io.EOF stays itself
+			return Event{}, err //nolint:wrapcheck // callers compare with io.EOF
 		}
 		content := bytes.TrimRight(event.Raw[lineStart:], "\r\n")
 		lineStart = len(event.Raw)
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -17,37 +17,37 @@
 	"github.com/mastwinch/mastwinch/internal/events"
 )
 
-// TestMain makes the random checks the same in every run, unless the command
-// line gives another seed.
+// TestMain fixes the seed of rapid so that each run draws the same values, unless the
+// command line sets another seed.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // rapid has declared it
+	_ = flag.Set("rapid.seed", "1") // rapid declares the flag
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
 func TestNext(t *testing.T) {
-	long := "id: 1\ndata: " + strings.Repeat("x", 4082) + "\n\n" // its line fills a read buffer
+	long := "id: 1\ndata: " + strings.Repeat("x", 4082) + "\n\n" // the data line is as long as the read buffer
 	tests := map[string]struct {
-		series  string
+		stream  string
 		want    []events.Event
 		wantErr error
 	}{
-		"none": {wantErr: io.EOF},
-		"one":  {series: "id: 1\ndata: a\n\n", want: []events.Event{{ID: "1", Raw: []byte("id: 1\ndata: a\n\n")}}, wantErr: io.EOF},
-		"two, with carriage returns": {
-			series:  "id:1\r\ndata: a\r\n\r\nid:2\r\n\r\n",
+		"no event":  {wantErr: io.EOF},
+		"one event": {stream: "id: 1\ndata: a\n\n", want: []events.Event{{ID: "1", Raw: []byte("id: 1\ndata: a\n\n")}}, wantErr: io.EOF},
+		"two events with carriage returns": {
+			stream:  "id:1\r\ndata: a\r\n\r\nid:2\r\n\r\n",
 			want:    []events.Event{{ID: "1", Raw: []byte("id:1\r\ndata: a\r\n\r\n")}, {ID: "2", Raw: []byte("id:2\r\n\r\n")}},
 			wantErr: io.EOF,
 		},
-		"without an ID":        {series: ": ping\n\n", want: []events.Event{{Raw: []byte(": ping\n\n")}}, wantErr: io.EOF},
-		"a long line":          {series: long, want: []events.Event{{ID: "1", Raw: []byte(long)}}, wantErr: io.EOF},
-		"cut within an event":  {series: "id: 1\n\nid: 2\nda", want: []events.Event{{ID: "1", Raw: []byte("id: 1\n\n")}}, wantErr: events.ErrPartial},
-		"cut before its blank": {series: "id: 1\ndata: a\n", wantErr: events.ErrPartial},
-		"too long":             {series: strings.Repeat("x", events.MaxBytes+1), wantErr: events.ErrTooLong},
+		"without an ID":             {stream: ": ping\n\n", want: []events.Event{{Raw: []byte(": ping\n\n")}}, wantErr: io.EOF},
+		"a long line":               {stream: long, want: []events.Event{{ID: "1", Raw: []byte(long)}}, wantErr: io.EOF},
+		"cut within an event":       {stream: "id: 1\n\nid: 2\nda", want: []events.Event{{ID: "1", Raw: []byte("id: 1\n\n")}}, wantErr: events.ErrPartial},
+		"cut before the blank line": {stream: "id: 1\ndata: a\n", wantErr: events.ErrPartial},
+		"too long":                  {stream: strings.Repeat("x", events.MaxBytes+1), wantErr: events.ErrTooLong},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			reader := events.NewReader(strings.NewReader(test.series))
+			reader := events.NewReader(strings.NewReader(test.stream))
 			var got []events.Event
 			for {
 				event, err := reader.Next()
@@ -62,19 +62,19 @@
 	}
 }
 
-// TestAnyCut cuts a series anywhere, read in pieces of any size. What was read
-// must be a part of the series that ends with a whole event.
-func TestAnyCut(t *testing.T) {
+// TestTruncatedStream truncates a stream at any byte and reads it byte by byte. The
+// events read must be a prefix of the stream that ends with a complete event.
+func TestTruncatedStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 6).Draw(t, "events")
-		series := &bytes.Buffer{}
+		stream := &bytes.Buffer{}
 		ends := map[int]bool{0: true}
 		for id := range count {
 			data := rapid.StringMatching(`[a-z :]{0,40}`).Draw(t, "data")
-			fmt.Fprintf(series, "id: %d\ndata: %s\n\n", id+1, data)
-			ends[series.Len()] = true
+			fmt.Fprintf(stream, "id: %d\ndata: %s\n\n", id+1, data)
+			ends[stream.Len()] = true
 		}
-		whole := series.Bytes()
+		whole := stream.Bytes()
 		cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
 		reader := events.NewReader(iotest.OneByteReader(bytes.NewReader(whole[:cut])))
 		var got []byte
