--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock tells a time that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that includes the time in which the machine is suspended.
 //
-// The runtime's steady clock stands still meanwhile, so that what is old looks young after a
-// wake-up: the proof of a configuration with a key that was taken away, a caller who left, memory that an
-// engine set aside for a time. The time of day goes on, and may jump.
+// The monotonic clock of the runtime stops during a suspension, so that ages are too small afterwards: a configuration
+// with a revoked key would seem recently confirmed, a caller's deadline would be missed, and an expired reservation of
+// engine memory would seem valid. The wall clock includes suspensions, but may be set to another time.
 package clock
 
 import (
@@ -18,95 +18,97 @@
 )
 
 const (
-	// tick is the time between looks whether the machine was suspended.
+	// pollInterval is the time between checks for a suspension.
 	tick = 50 * time.Millisecond
-	// shortest is the shortest suspension that counts; what is shorter is as good as a slow thread.
+	// minSuspension is the shortest difference of the clocks that counts as a suspension. A shorter one may be caused by
+	// the scheduling of threads.
 	shortest = 10 * time.Millisecond
 )
 
-// Source tells for how long the machine has run, with the time in which it was suspended.
+// Source returns the time since the machine was started, including the time in which it was suspended.
 type Source func() (time.Duration, error)
 
-// Boottime is the source of the system.
+// Boottime is the Source that reads CLOCK_BOOTTIME of the system.
 func Boottime() (time.Duration, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return 0, errors.Wrap(err, "clock")
+		return 0, errors.Wrap(err, "clock: read CLOCK_BOOTTIME")
 	}
 	return time.Duration(now.Nano()), nil
 }
 
-// Clock is a clock that goes on while the machine is suspended.
+// Clock is a clock that includes suspensions of the machine. It is safe for concurrent use.
 type Clock struct {
 	source Source
-	// started and booted are when the clock was made, by the runtime and by the source.
+	// startedAt and sourceStart are the times at which the clock was created, by the runtime and by the source.
 	started time.Time
 	booted  time.Duration
-	// asleep is for how long the machine was suspended since then. It never shrinks.
+	// suspended is the total time in nanoseconds for which the machine was suspended since then. It never decreases.
 	asleep atomic.Int64
 
 	mu sync.Mutex
-	// wakes has what is to be called after a suspension.
+	// callbacks has the functions that are called after a suspension.
 	wakes map[*wake]bool
 }
 
-// wake is a call after a suspension.
+// callback is a function that is called after a suspension. A pointer to it is its identity.
 type wake struct {
 	call func(slept time.Duration)
 }
 
-// New returns a clock on a source.
+// New returns a clock that reads source. It fails if source fails.
 func New(source Source) (*Clock, error) {
-	booted, err := source()
+	sourceStart, err := source()
 	if err != nil {
 		return nil, err
 	}
-	return &Clock{source: source, started: time.Now(), booted: booted, wakes: make(map[*wake]bool)}, nil
+	return &Clock{source: source, started: time.Now(), booted: sourceStart, wakes: make(map[*wake]bool)}, nil
 }
 
-// Now returns the time. Its differences count the suspensions that Sync has found.
+// Now returns the current time. Differences between times include the suspensions that Sync has detected.
 func (clock *Clock) Now() time.Time {
 	return time.Now().Add(time.Duration(clock.asleep.Load()))
 }
 
-// ForTimers returns a moment of this clock as the runtime's timers, contexts and connections take it.
-func (clock *Clock) ForTimers(moment time.Time) time.Time {
-	return moment.Add(-time.Duration(clock.asleep.Load()))
+// ForTimers converts a time of this clock to one for timers, contexts and connection deadlines of the runtime.
+func (clock *Clock) ForTimers(instant time.Time) time.Time {
+	return instant.Add(-time.Duration(clock.asleep.Load()))
 }
 
-// Sync looks whether the machine was suspended since the last look, and if so calls who waits for that and returns
-// for how long. It is for the moment before something is decided by an age.
+// Sync checks whether the machine was suspended since the last check. If so, it calls the functions registered with
+// AfterResume and returns the duration of the suspension; otherwise it returns zero. Call it before a decision that
+// depends on an age.
 func (clock *Clock) Sync() time.Duration {
-	up, err := clock.source()
+	sourceNow, err := clock.source()
 	if err != nil {
-		return 0 // it answered when the clock was made, and the next look asks again
+		return 0 // the source worked in New, and the next check reads it again
 	}
-	// The runtime's clock is read last, so that a thread that had to wait between the two does not
-	// look like a suspension.
-	asleep := up - clock.booted - time.Since(clock.started)
-	known := clock.asleep.Load()
-	slept := asleep - time.Duration(known)
-	if slept < shortest || !clock.asleep.CompareAndSwap(known, int64(asleep)) {
+	// The clock of the runtime is read last, so that a delay of the thread between the two reads does not
+	// count as a suspension.
+	suspended := sourceNow - clock.booted - time.Since(clock.started)
+	previous := clock.asleep.Load()
+	suspension := suspended - time.Duration(previous)
+	if suspension < shortest || !clock.asleep.CompareAndSwap(previous, int64(suspended)) {
 		return 0
 	}
-	for _, wake := range clock.waiting() {
-		wake.call(slept)
+	for _, callback := range clock.waiting() {
+		callback.call(suspension)
 	}
-	return slept
+	return suspension
 }
 
 func (clock *Clock) waiting() []*wake {
 	clock.mu.Lock()
 	defer clock.mu.Unlock()
-	waiting := make([]*wake, 0, len(clock.wakes))
-	for wake := range clock.wakes {
-		waiting = append(waiting, wake)
+	callbacks := make([]*wake, 0, len(clock.wakes))
+	for callback := range clock.wakes {
+		callbacks = append(callbacks, callback)
 	}
-	return waiting
+	return callbacks
 }
 
-// AfterWake calls after each suspension, with how long it was, until stop is called. The call must not block.
-func (clock *Clock) AfterWake(call func(slept time.Duration)) (stop func()) {
+// AfterResume calls call after each suspension with its duration, until stop is called. The function must not block.
+func (clock *Clock) AfterWake(call func(suspension time.Duration)) (stop func()) {
 	added := &wake{call: call}
 	clock.mu.Lock()
 	defer clock.mu.Unlock()
@@ -118,14 +120,15 @@
 	}
 }
 
-// Run looks at intervals until ctx is done.
+// Run calls Sync at intervals until ctx is done.
 func (clock *Clock) Run(ctx context.Context) {
 	for wait.For(ctx, tick) {
 		clock.Sync()
 	}
 }
 
-// WithDeadline returns a context that ends at a moment of this clock, with context.DeadlineExceeded as its cause.
+// WithDeadline returns a context that is cancelled at a time of this clock, with context.DeadlineExceeded as its cause.
+// Cancelling it releases its timer.
 func (clock *Clock) WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := time.AfterFunc(deadline.Sub(clock.Now()), func() { cancel(context.DeadlineExceeded) })
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,46 +15,46 @@
 
 var errNoClock = errors.New("no such clock")
 
-// machine is a machine that can be suspended.
+// machine is a simulated machine that can be suspended.
 type machine struct {
-	started time.Time
-	asleep  atomic.Int64
+	startedAt time.Time
+	suspended atomic.Int64
 }
 
 func (machine *machine) up() (time.Duration, error) {
-	return time.Since(machine.started) + time.Duration(machine.asleep.Load()), nil
+	return time.Since(machine.startedAt) + time.Duration(machine.suspended.Load()), nil
 }
 
 func (machine *machine) suspend(duration time.Duration) {
-	machine.asleep.Add(int64(duration))
+	machine.suspended.Add(int64(duration))
 }
 
 func newClock(t *testing.T) (*clock.Clock, *machine) {
 	t.Helper()
-	machine := &machine{started: time.Now()}
-	made, err := clock.New(machine.up)
+	machine := &machine{startedAt: time.Now()}
+	created, err := clock.New(machine.up)
 	assert.NilError(t, err)
-	return made, machine
+	return created, machine
 }
 
-func TestSuspensionCounts(t *testing.T) {
+func TestClockIncludesSuspension(t *testing.T) {
 	for name, test := range map[string]struct {
-		asleep, want time.Duration
+		suspended, want time.Duration
 	}{
 		"none":          {},
-		"slow thread":   {asleep: time.Millisecond},
-		"a second":      {asleep: time.Second, want: time.Second},
-		"five seconds":  {asleep: 5 * time.Second, want: 5 * time.Second},
-		"a long minute": {asleep: time.Minute, want: time.Minute},
+		"slow thread":   {suspended: time.Millisecond},
+		"a second":      {suspended: time.Second, want: time.Second},
+		"five seconds":  {suspended: 5 * time.Second, want: 5 * time.Second},
+		"a long minute": {suspended: time.Minute, want: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clock, machine := newClock(t)
 				before := clock.Now()
 				time.Sleep(time.Second)
-				machine.suspend(test.asleep)
+				machine.suspend(test.suspended)
 				assert.Equal(t, clock.Sync(), test.want)
-				assert.Equal(t, clock.Sync(), time.Duration(0), "once")
+				assert.Equal(t, clock.Sync(), time.Duration(0), "each suspension is reported once")
 				assert.Equal(t, clock.Now().Sub(before), time.Second+test.want)
 				assert.Equal(t, clock.ForTimers(clock.Now()), time.Now())
 			})
@@ -62,15 +62,16 @@
 	}
 }
 
-// TestDeadlineAfterSuspension has a deadline in ten seconds: the time asleep counts, and what is left goes on.
+// TestDeadlineAfterSuspension has a deadline in ten seconds: a suspension of the machine must count towards it, and the
+// remaining time must continue to run.
 func TestDeadlineAfterSuspension(t *testing.T) {
 	for name, test := range map[string]struct {
-		asleep, want time.Duration
+		suspended, want time.Duration
 	}{
 		"none":          {want: 10 * time.Second},
-		"a second":      {asleep: time.Second, want: 9 * time.Second},
-		"five seconds":  {asleep: 5 * time.Second, want: 5 * time.Second},
-		"a long minute": {asleep: time.Minute, want: 1050 * time.Millisecond},
+		"a second":      {suspended: time.Second, want: 9 * time.Second},
+		"five seconds":  {suspended: 5 * time.Second, want: 5 * time.Second},
+		"a long minute": {suspended: time.Minute, want: 1050 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -82,11 +83,11 @@
 				bounded, cancel := clock.WithDeadline(ctx, clock.Now().Add(10*time.Second))
 				defer cancel()
 				time.Sleep(time.Second)
-				machine.suspend(test.asleep)
+				machine.suspend(test.suspended)
 				<-bounded.Done()
 				assert.ErrorIs(t, context.Cause(bounded), context.DeadlineExceeded)
-				took := time.Since(started)
-				assert.Assert(t, (took-test.want).Abs() <= 50*time.Millisecond, "%s", took)
+				elapsed := time.Since(started)
+				assert.Assert(t, (elapsed-test.want).Abs() <= 50*time.Millisecond, "%s", elapsed)
 				stop()
 				synctest.Wait()
 			})
@@ -94,12 +95,12 @@
 	}
 }
 
-func TestNoClock(t *testing.T) {
+func TestNewFailsWithItsSource(t *testing.T) {
 	_, err := clock.New(func() (time.Duration, error) { return 0, errNoClock })
 	assert.ErrorIs(t, err, errNoClock)
 }
 
-func TestBoottimeGoesOn(t *testing.T) {
+func TestBoottimeDoesNotDecrease(t *testing.T) {
 	first, err := clock.Boottime()
 	assert.NilError(t, err)
 	second, err := clock.Boottime()
@@ -107,26 +108,26 @@
 	assert.Assert(t, second >= first && first > 0)
 }
 
-// BenchmarkNow is what each reading of the time costs: 82 ns, 72 for time.Now alone as before.
+// BenchmarkNow measures reading the time.
 func BenchmarkNow(b *testing.B) {
-	made, err := clock.New(clock.Boottime)
+	clock, err := clock.New(clock.Boottime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		made.Now()
+		clock.Now()
 	}
 }
 
-// BenchmarkSync is what a look costs, one for each request and 20 a second: 306 ns,
-// where there was none.
+// BenchmarkSync measures a check for a suspension, which is made for each request and
+// 20 times a second.
 func BenchmarkSync(b *testing.B) {
-	made, err := clock.New(clock.Boottime)
+	clock, err := clock.New(clock.Boottime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		made.Sync()
+		clock.Sync()
 	}
 }
 
-// BenchmarkTimeNow is the runtime's own clock, for comparison.
+// BenchmarkTimeNow measures the clock of the runtime, for comparison.
 func BenchmarkTimeNow(b *testing.B) {
 	for b.Loop() {
 		_ = time.Now()
