--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,5 +1,5 @@
-// Package configuration is the aggregate of what operators publish: the
-// organisations with their limits, and data centres that are evacuated.
+// Package configuration has the configuration that operators publish on the
+// log: the organisations with their limits, and the evacuations of data centres.
 package configuration
 
 import (
@@ -11,51 +11,53 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Configuration is an immutable version of the configuration.
+// Configuration is an immutable version of the configuration. It may be shared between goroutines.
 type Configuration struct {
-	// organisations is never changed once the value is shared.
+	// organisations has the organisations by name. The map is never modified once the value is shared.
 	organisations map[string]Organisation
-	// evacuations has the version of the record that began each, by its data centre. It is never changed once the value is shared.
+	// evacuations has the version of the record that began each evacuation, by data centre. The map is never modified once
+	// the value is shared.
 	evacuations map[string]fold.Version
-	// version never decreases from one value to its successors.
+	// version is the version of the last accepted record. It never decreases from one value to its successors.
 	version fold.Version
 }
 
 // Organisation is a tenant with its limits.
 type Organisation struct {
 	Name string
-	// Weight is its part of the fleet relative to the others' weights.
+	// Weight is its share of the fleet relative to the weights of the other organisations.
 	Weight uint32
-	// MaxConcurrent is how many requests one entry runs for it at a time.
+	// MaxConcurrent is the maximum number of its requests that one entry runs at the same time.
 	MaxConcurrent uint32
-	// Version is that of the record which put it.
+	// Version is the version of the record that put it.
 	Version fold.Version
 }
 
-// New returns the empty configuration.
+// New returns a configuration without organisations and evacuations.
 func New() Configuration {
 	return Configuration{organisations: map[string]Organisation{}, evacuations: map[string]fold.Version{}}
 }
 
-// Version returns the version of the last accepted record.
+// Version returns the version of the last accepted record, or zero if there is none.
 func (configuration Configuration) Version() fold.Version {
 	return configuration.version
 }
 
-// Organisation returns the organisation of that name.
+// Organisation returns the organisation called name. It reports false if there is none.
 func (configuration Configuration) Organisation(name string) (Organisation, bool) {
 	organisation, ok := configuration.organisations[name]
 	return organisation, ok
 }
 
-// Organisations returns all organisations by name.
+// Organisations returns all organisations, sorted by name.
 func (configuration Configuration) Organisations() []Organisation {
 	return slices.SortedFunc(maps.Values(configuration.organisations), func(a, b Organisation) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
 }
 
-// WithOrganisation returns the configuration after put, if it is accepted.
+// WithOrganisation returns the configuration after put, or the same configuration
+// if put is refused.
 func (configuration Configuration) WithOrganisation(
 	version fold.Version, put *wire.PutOrganisation,
 ) (Configuration, fold.Verdict) {
@@ -72,13 +74,13 @@
 	return configuration.withOrganisations(organisations, version), fold.Accept(version)
 }
 
-// WithoutOrganisation returns the configuration after remove, if it is
-// accepted.
+// WithoutOrganisation returns the configuration after remove, or the same
+// configuration if remove is refused.
 func (configuration Configuration) WithoutOrganisation(
 	version fold.Version, remove *wire.RemoveOrganisation,
 ) (Configuration, fold.Verdict) {
-	put := func(organisation Organisation) fold.Version { return organisation.Version }
-	organisations, verdict := fold.Remove(configuration.organisations, remove.GetName(), put, remove.GetExpectedVersion(), version)
+	versionOf := func(organisation Organisation) fold.Version { return organisation.Version }
+	organisations, verdict := fold.Remove(configuration.organisations, remove.GetName(), versionOf, remove.GetExpectedVersion(), version)
 	if !verdict.Accepted {
 		return configuration, verdict
 	}
@@ -93,7 +95,8 @@
 	return configuration
 }
 
-// Encode writes the configuration into state, in a fixed order.
+// Encode writes the configuration into state. The order of the lists is fixed, so that equal configurations have equal
+// encodings.
 func (configuration Configuration) Encode(state *wire.State) {
 	state.ConfigurationVersion = uint64(configuration.version)
 	for _, organisation := range configuration.Organisations() {
--- a/internal/configuration/evacuation.go
+++ b/internal/configuration/evacuation.go
@@ -9,14 +9,14 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Evacuation is a data centre whose backend servers get nothing new.
+// Evacuation is the evacuation of a data centre: its backend servers are assigned no new requests.
 type Evacuation struct {
 	DataCentre string
-	// Version is that of the record which began it.
+	// Version is the version of the record that began it.
 	Version fold.Version
 }
 
-// Evacuations returns all evacuations by their data centres.
+// Evacuations returns all evacuations, sorted by data centre.
 func (configuration Configuration) Evacuations() []Evacuation {
 	list := make([]Evacuation, 0, len(configuration.evacuations))
 	for dataCentre, version := range configuration.evacuations {
@@ -26,18 +26,18 @@
 	return list
 }
 
-// Evacuation returns the evacuation of a data centre, with version zero where there is none.
+// Evacuation returns the evacuation of a data centre, with version zero if it is not evacuated.
 func (configuration Configuration) Evacuation(dataCentre string) Evacuation {
 	return Evacuation{DataCentre: dataCentre, Version: configuration.evacuations[dataCentre]}
 }
 
-// Evacuated reports whether the backend servers of a data centre get nothing new.
+// Evacuated reports whether the backend servers of a data centre are assigned no new requests.
 func (configuration Configuration) Evacuated(dataCentre string) bool {
 	_, evacuated := configuration.evacuations[dataCentre]
 	return evacuated
 }
 
-// WithEvacuation returns the configuration after begin, if it is accepted.
+// WithEvacuation returns the configuration after begin, or the same configuration if begin is refused.
 func (configuration Configuration) WithEvacuation(
 	version fold.Version, begin *wire.BeginEvacuation,
 ) (Configuration, fold.Verdict) {
@@ -53,12 +53,12 @@
 	return configuration.withEvacuations(evacuations, version), fold.Accept(version)
 }
 
-// WithoutEvacuation returns the configuration after end, if it is accepted.
+// WithoutEvacuation returns the configuration after end, or the same configuration if end is refused.
 func (configuration Configuration) WithoutEvacuation(
 	version fold.Version, end *wire.EndEvacuation,
 ) (Configuration, fold.Verdict) {
-	itself := func(began fold.Version) fold.Version { return began }
-	evacuations, verdict := fold.Remove(configuration.evacuations, end.GetDataCentre(), itself, end.GetExpectedVersion(), version)
+	versionOf := func(began fold.Version) fold.Version { return began }
+	evacuations, verdict := fold.Remove(configuration.evacuations, end.GetDataCentre(), versionOf, end.GetExpectedVersion(), version)
 	if !verdict.Accepted {
 		return configuration, verdict
 	}
