--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,9 +1,10 @@
-// Package upstream sends requests to backend servers over kept connections.
+// Package upstream sends HTTP requests to backend servers over a pool of idle
+// connections.
 //
-// It stands beside net/http's transport since that one sends some requests
-// again by itself and hides which connection an answer came on. Here each send
-// happens at most once, and a connection is used again only when nothing on it
-// was out of the ordinary.
+// It is used in place of the transport of net/http, which retries some requests
+// by itself and does not show which connection a response came from. Here each
+// request is sent at most once, and a connection is reused only if its last
+// request and response were regular.
 package upstream
 
 import (
@@ -19,28 +20,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// readBuffer is the size of a connection's read buffer. Heads and most plain
-// answers fit.
+// readBufferSize is the size of the read buffer of a connection in bytes. The
+// header and most responses that are not streams fit into it.
 const readBuffer = 4 << 10
 
-// Settings bound the connections.
+// Settings limit the connections to servers.
 type Settings struct {
-	// MaxIdle is how many connections are kept for one server.
+	// MaxIdle is the maximum number of idle connections to one server.
 	MaxIdle int `yaml:"max_idle" validate:"min=0,max=1024"`
-	// IdleTime is how long a connection is kept when the server names no time.
+	// IdleTime is how long an idle connection is kept if the server advertises no idle timeout.
 	IdleTime time.Duration `yaml:"idle_time" validate:"min=10ms"`
-	// IdleMargin is taken off the time that a server names.
+	// IdleMargin is subtracted from the idle timeout, so that the server does not close a connection that is being reused.
 	IdleMargin time.Duration `yaml:"idle_margin" validate:"min=0"`
-	// OpenMin is how long a new connection may take at least, OpenTimes the multiple of what the last one to its server
-	// took, and OpenMax how long it may take at most, however many took too long.
+	// The timeout for a new connection is OpenFactor times the time that the last one to the server took, but at least
+	// OpenMin. It doubles with each timeout since, up to OpenMax.
 	OpenMin   time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenTimes float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax   time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// OpenMemory is for how long it is known how long the last one took.
+	// OpenMemory is how long the time that the last connection took is kept.
 	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
-// DefaultSettings returns settings for data centres of one city.
+// DefaultSettings returns settings for servers in several data centres of one city.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxIdle:    32,
@@ -53,19 +54,19 @@
 	}
 }
 
-// Request is a request as it goes to a server.
+// Request is a request to a server.
 type Request struct {
-	// Server is the ID of the server that is meant. It is for Listener and not sent.
+	// Server is the ID of the server. It is passed to the Listener and not sent.
 	Server string
 	Method string
-	// Target is the path and the query exactly as the caller sent them.
+	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// NotSentError says that nothing of the request reached the server.
+// NotSentError is returned if no connection could be opened, so that no part of the request reached the server.
 type NotSentError struct {
 	Address string
 	Err     error
@@ -73,15 +74,15 @@
 
 // Error implements error.
 func (e *NotSentError) Error() string {
-	return "not sent to " + e.Address + ": " + e.Err.Error()
+	return "request not sent to " + e.Address + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the connection attempt.
 func (e *NotSentError) Unwrap() error {
 	return e.Err
 }
 
-// Client keeps connections to servers.
+// Client sends requests to servers and keeps idle connections to them. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	dialer   Dialer
@@ -89,25 +90,26 @@
 	now      func() time.Time
 
 	mu sync.Mutex
-	// idle has the kept connections by address, the last used last.
+	// idle has the idle connections by address, the most recently used one last.
 	idle     map[string][]*connection
 	opened   int
 	openings *openings
 }
 
-// Dialer opens connections.
+// Dialer opens network connections.
 type Dialer interface {
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Listener hears the head of each answer before who asked does, so that what servers say beside the answer is heard
-// whatever was asked of them.
+// Listener receives the header of each response before the caller of Send does. Servers report their state in header
+// fields of all responses, whatever the request was.
 type Listener interface {
-	// The answer was asked for at a moment, and made after it.
-	Heard(server string, asked time.Time, status int, header http.Header)
+	// HandleResponse handles the header of a response to a request that was sent at sentAt. The state in the header is
+	// from a later time.
+	Heard(server string, sentAt time.Time, status int, header http.Header)
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(settings Settings, dialer Dialer, listener Listener, now func() time.Time) *Client {
 	return &Client{
 		settings: settings,
@@ -119,26 +121,27 @@
 	}
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns how many connections have been opened so far.
 func (client *Client) Opened() int {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.opened
 }
 
-// Send sends a request and returns the head of the answer to it. fits tells an
-// answer to this request from a late one to an earlier request, which is
-// skipped. The connection is closed when ctx ends before the answer was read.
+// Send sends a request and returns the response after its header was received.
+// matches reports whether a response belongs to this request; a late response to
+// an earlier request is skipped. The connection is closed if ctx ends before the
+// response is closed. The caller must close the response.
 func (client *Client) Send(
-	ctx context.Context, address string, request Request, fits func(http.Header) bool,
+	ctx context.Context, address string, request Request, matches func(http.Header) bool,
 ) (*Response, error) {
 	connection, err := client.take(ctx, address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Err: err}
 	}
-	asked := client.now()
+	sentAt := client.now()
 	connection.stop = context.AfterFunc(ctx, connection.close)
-	response, err := connection.roundTrip(request, fits)
+	response, err := connection.roundTrip(request, matches)
 	if err != nil {
 		connection.close()
 		if connection.kept && !errors.Is(context.Cause(ctx), context.Canceled) {
@@ -149,23 +152,23 @@
 		}
 		return nil, err
 	}
-	client.listener.Heard(request.Server, asked, response.Status, response.Header)
+	client.listener.Heard(request.Server, sentAt, response.Status, response.Header)
 	response.client = client
 	return response, nil
 }
 
-// take returns a kept connection that is still good, or a new one.
+// acquire returns an idle connection that can be reused, or a new one.
 func (client *Client) take(ctx context.Context, address string) (*connection, error) {
 	for {
-		kept := client.pop(address)
-		if kept == nil {
+		idle := client.pop(address)
+		if idle == nil {
 			break
 		}
-		if kept.quiet() && client.now().Before(kept.goodUntil) {
-			kept.kept = true
-			return kept, nil
+		if idle.quiet() && client.now().Before(idle.goodUntil) {
+			idle.kept = true
+			return idle, nil
 		}
-		kept.close()
+		idle.close()
 	}
 	dialled, err := client.openings.dial(ctx, client.dialer, address)
 	if err != nil {
@@ -181,16 +184,16 @@
 	}, nil
 }
 
-// Kept reports whether a connection to a server is kept.
+// HasIdle reports whether there is an idle connection to a server.
 func (client *Client) Kept(address string) bool {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return len(client.idle[address]) > 0
 }
 
-// drop closes the connections that are kept for a server. Where one of them got no
-// answer the others may have gone silent with it, without a reset, while a new one
-// works: else each would hold up a request for as long as it takes to be noticed.
+// closeIdle closes the idle connections to a server. It is called after a request on
+// a reused connection failed: the other ones may be dead too without a reset, while
+// new connections work, and each would delay one more request until its timeout.
 func (client *Client) drop(address string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -203,16 +206,17 @@
 func (client *Client) pop(address string) *connection {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	kept := client.idle[address]
-	if len(kept) == 0 {
+	idle := client.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	client.idle[address] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	client.idle[address] = idle[:len(idle)-1]
 	return last
 }
 
-// keep takes a connection back that the server keeps for that long.
+// release returns a connection to the idle ones, unless there are MaxIdle already. idle is the idle timeout that the
+// server advertised, or zero.
 func (client *Client) keep(connection *connection, idle time.Duration) {
 	if idle <= 0 {
 		idle = client.settings.IdleTime
@@ -220,41 +224,41 @@
 	connection.goodUntil = client.now().Add(idle - client.settings.IdleMargin)
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	kept := client.idle[connection.address]
-	if len(kept) >= client.settings.MaxIdle {
+	connections := client.idle[connection.address]
+	if len(connections) >= client.settings.MaxIdle {
 		connection.close()
 		return
 	}
-	client.idle[connection.address] = append(kept, connection)
+	client.idle[connection.address] = append(connections, connection)
 }
 
-// Sweep closes kept connections whose time is over.
+// Sweep closes the idle connections that have expired. It is to be called at intervals.
 func (client *Client) Sweep() {
 	client.openings.sweep()
 	now := client.now()
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	for address, kept := range client.idle {
-		good := kept[:0]
-		for _, connection := range kept {
+	for address, connections := range client.idle {
+		remaining := connections[:0]
+		for _, connection := range connections {
 			if now.Before(connection.goodUntil) {
-				good = append(good, connection)
+				remaining = append(remaining, connection)
 				continue
 			}
 			connection.close()
 		}
-		client.idle[address] = good
-		if len(good) == 0 {
+		client.idle[address] = remaining
+		if len(remaining) == 0 {
 			delete(client.idle, address)
 		}
 	}
 }
 
-// encode returns the bytes of a request.
+// encode returns the request in the format of HTTP/1.1.
 func encode(request Request) []byte {
 	buffer := &bytes.Buffer{}
 	buffer.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
-	_ = request.Header.Write(buffer) // a buffer takes all
+	_ = request.Header.Write(buffer) // never fails with a buffer
 	if len(request.Body) > 0 || (request.Method != http.MethodGet && request.Method != http.MethodHead) {
 		buffer.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,45 +13,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxSurplus is how many answers to earlier requests are skipped.
+// maxSkipped is how many responses to earlier requests are skipped before the one to the current request.
 const maxSurplus = 2
 
-// maxSurplusBytes bounds the body of an answer that is skipped.
+// maxSkippedBytes bounds the body of a response that is skipped.
 const maxSurplusBytes = 1 << 20
 
-// inlineBytes is what any socket takes at once; larger requests are written
-// beside reading, since a server may answer before it has read them.
+// maxInlineBytes is the size up to which a write to a socket does not block. A larger
+// request is written in a goroutine of its own while the response is read, since a
+// server may respond before it has read the request.
 const inlineBytes = 2 << 10
 
-// errSurplus says that too many answers to other requests came.
-var errSurplus = errors.New("answers to other requests only")
+// errSkipped is returned if maxSkipped responses were skipped and the next one does not match the request either.
+var errSurplus = errors.New("no response matches the request")
 
-// connection is one connection to a server, used by one request at a time.
+// connection is a connection to a server. It is used by one request at a time.
 type connection struct {
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
-	// kept says that an earlier request used it.
+	// reused says that an earlier request was sent on it.
 	kept bool
-	// goodUntil is until when it may be taken while it is kept.
+	// expiresAt is when it expires while it is idle.
 	goodUntil time.Time
-	// stop ends the watch over the context of the request in progress.
+	// stop unregisters close from the context of the current request. It reports false if close was called.
 	stop func() bool
 	once sync.Once
-	// written is closed when the whole request has been written.
+	// written is closed when the write of the request has ended; writeErr is set before.
 	written  chan struct{}
 	writeErr error
-	// odd says that something was out of the ordinary.
+	// skipped says that a response was skipped, so that the connection must not be reused.
 	odd bool
 }
 
 func (connection *connection) close() {
 	connection.once.Do(func() {
-		_ = connection.conn.Close() // nothing is left to do with it
+		_ = connection.conn.Close() // the connection is not used any more
 	})
 }
 
-// quiet reports whether the connection is open and has no bytes to read.
+// isQuiet reports whether the connection is open and has no bytes to read.
 func (connection *connection) quiet() bool {
 	if connection.reader.Buffered() > 0 {
 		return false
@@ -66,39 +67,39 @@
 	}
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		quiet = errors.Is(err, unix.EAGAIN)
 		return true
 	})
 	return err == nil && quiet
 }
 
-// roundTrip writes a request and reads the head of its answer.
-func (connection *connection) roundTrip(request Request, fits func(http.Header) bool) (*Response, error) {
+// roundTrip writes a request and reads responses up to the header of the one that matches.
+func (connection *connection) roundTrip(request Request, matches func(http.Header) bool) (*Response, error) {
 	connection.write(encode(request))
 	for range maxSurplus + 1 {
-		//nolint:bodyclose // the connection is closed, or kept once the body was read
-		answer, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
+		//nolint:bodyclose // Response.Close closes or reuses the connection
+		httpResponse, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
 		if err != nil {
-			return nil, errors.Wrapf(err, "answer of %s", connection.address)
+			return nil, errors.Wrapf(err, "read response of %s", connection.address)
 		}
-		if answer.StatusCode >= http.StatusContinue && answer.StatusCode < http.StatusOK {
+		if httpResponse.StatusCode >= http.StatusContinue && httpResponse.StatusCode < http.StatusOK {
 			continue
 		}
-		if fits(answer.Header) {
-			return &Response{Status: answer.StatusCode, Header: answer.Header, answer: answer, connection: connection}, nil
+		if matches(httpResponse.Header) {
+			return &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, answer: httpResponse, connection: connection}, nil
 		}
 		connection.odd = true
-		skipped, err := io.CopyN(io.Discard, answer.Body, maxSurplusBytes)
+		count, err := io.CopyN(io.Discard, httpResponse.Body, maxSurplusBytes)
 		if !errors.Is(err, io.EOF) {
-			return nil, errors.Newf("surplus answer of %s not skipped after %d bytes: %v", connection.address, skipped, err)
+			return nil, errors.Newf("could not skip response of %s to an earlier request after %d bytes: %v", connection.address, count, err)
 		}
 	}
 	return nil, errors.Wrapf(errSurplus, "%s", connection.address)
 }
 
-// write writes the request, beside reading when it is long.
+// write writes the request, in a goroutine of its own if it is larger than maxInlineBytes.
 func (connection *connection) write(data []byte) {
 	connection.written = make(chan struct{})
 	write := func() {
@@ -112,7 +113,7 @@
 	go write()
 }
 
-// wroteAll reports whether the whole request has been written by now.
+// isWritten reports whether the whole request has been written.
 func (connection *connection) wroteAll() bool {
 	select {
 	case <-connection.written:
--- a/internal/upstream/listener_test.go
+++ b/internal/upstream/listener_test.go
@@ -15,27 +15,28 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// heard gathers which servers spoke.
-type heard struct {
-	mu      sync.Mutex
-	answers []string
+// recorder records the responses that a Listener receives.
+type recorder struct {
+	mu        sync.Mutex
+	responses []string
 }
 
-var _ upstream.Listener = (*heard)(nil)
+var _ upstream.Listener = (*recorder)(nil)
 
-func (heard *heard) Heard(server string, _ time.Time, status int, header http.Header) {
-	heard.mu.Lock()
-	defer heard.mu.Unlock()
-	heard.answers = append(heard.answers, fmt.Sprintf("%s %d %s", server, status, header.Get("Request-Id")))
+func (recorder *recorder) Heard(server string, _ time.Time, status int, header http.Header) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.responses = append(recorder.responses, fmt.Sprintf("%s %d %s", server, status, header.Get("Request-Id")))
 }
 
-// TestListenerHearsAnswersThatFit has a late answer to an earlier request before the one that is waited for.
-func TestListenerHearsAnswersThatFit(t *testing.T) {
+// TestListenerReceivesMatchingResponses has a late response to an earlier request before the one to the request: the
+// listener must receive only the latter, since the former was made for another request.
+func TestListenerReceivesMatchingResponses(t *testing.T) {
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, _ int64) {
 		_, _ = readRequest(requests)
-		_, _ = fmt.Fprint(conn, reply("earlier", "late"), reply("r", "fits"))
+		_, _ = fmt.Fprint(conn, reply("earlier", "late"), reply("r", "matches"))
 	})
-	listener := &heard{}
+	listener := &recorder{}
 	client := upstream.New(upstream.DefaultSettings(), network.New(network.DefaultSettings()), listener, time.Now)
 	request := upstream.Request{
 		Server: "s1", Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Request-Id": {"r"}},
@@ -45,5 +46,5 @@
 	})
 	assert.NilError(t, err)
 	response.Close(0)
-	assert.DeepEqual(t, listener.answers, []string{"s1 200 r"})
+	assert.DeepEqual(t, listener.responses, []string{"s1 200 r"})
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,7 +10,7 @@
 
 var _ io.Reader = (*Response)(nil)
 
-// Response is the answer of a server. It is used by one goroutine.
+// Response is the response of a server. It is not safe for concurrent use, and must be closed.
 type Response struct {
 	Status int
 	Header http.Header
@@ -18,42 +18,43 @@
 	answer     *http.Response
 	connection *connection
 	client     *Client
-	// ended says that the whole body was read.
+	// bodyRead says that the whole body was read.
 	ended bool
 }
 
-// Read implements io.Reader over the body.
+// Read implements io.Reader. It reads the body.
 func (response *Response) Read(buffer []byte) (int, error) {
 	count, err := response.answer.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		response.ended = true
 	}
-	return count, err //nolint:wrapcheck // io.Reader's own errors
+	return count, err //nolint:wrapcheck // callers of io.Reader compare with io.EOF
 }
 
-// Size returns how many bytes the body has, and reports false where the server did not state it.
+// Size returns the size of the body in bytes. It reports false if the header does not state it.
 func (response *Response) Size() (int64, bool) {
 	return response.answer.ContentLength, response.answer.ContentLength >= 0
 }
 
-// SetReadDeadline bounds how long a read may wait.
+// SetReadDeadline sets the time at which a pending or later Read fails. The zero time removes the deadline.
 func (response *Response) SetReadDeadline(deadline time.Time) error {
 	return errors.WithStack(response.connection.conn.SetReadDeadline(deadline))
 }
 
-// framed reports whether the answer states where it ends.
+// isDelimited reports whether the response states its own end, so that it does not end with the connection.
 func (response *Response) framed() bool {
 	return response.answer.ContentLength >= 0 || len(response.answer.TransferEncoding) > 0
 }
 
-// Close ends the use of the connection. It is kept for idle when the whole
-// answer was read, nothing is left over, and the server does not close it.
+// Close ends the use of the connection. It becomes idle if the whole response was
+// read, no byte follows it, and the server does not close the connection; otherwise
+// it is closed. idle is the idle timeout that the server advertised, or zero.
 func (response *Response) Close(idle time.Duration) {
 	connection := response.connection
-	watched := connection.stop()
-	clean := response.ended && response.framed() && !response.answer.Close && !connection.odd &&
+	unregistered := connection.stop()
+	reusable := response.ended && response.framed() && !response.answer.Close && !connection.odd &&
 		connection.wroteAll() && connection.reader.Buffered() == 0
-	if !clean || !watched {
+	if !reusable || !unregistered {
 		connection.close()
 		return
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,14 +20,14 @@
 	"github.com/mastwinch/mastwinch/internal/upstream"
 )
 
-// server is a raw server on loopback that answers each connection by a script.
+// server is a TCP server on loopback that runs a script for each connection.
 type server struct {
 	listener net.Listener
 	accepted atomic.Int64
 }
 
-// newServer serves connections with script, one line of answers for each
-// request read.
+// newServer starts a server that runs script for each connection. nth counts the
+// connections from 1.
 func newServer(t *testing.T, script func(conn net.Conn, requests *bufio.Reader, nth int64)) *server {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return server.listener.Addr().String()
 }
 
-// readRequest reads one request whole, and reports whether there was one.
+// readRequest reads one request with its body. It reports false if that failed.
 func readRequest(requests *bufio.Reader) (*http.Request, bool) {
 	request, err := http.ReadRequest(requests)
 	if err != nil {
@@ -82,22 +82,22 @@
 }
 
 func newClient() *upstream.Client {
-	return upstream.New(upstream.DefaultSettings(), network.New(network.DefaultSettings()), &heard{}, time.Now)
+	return upstream.New(upstream.DefaultSettings(), network.New(network.DefaultSettings()), &recorder{}, time.Now)
 }
 
 func TestSend(t *testing.T) {
 	tests := map[string]struct {
 		script func(conn net.Conn, requests *bufio.Reader, nth int64)
-		// wantBodies has what two requests in a row must give, empty for an error.
+		// wantBodies has the expected bodies for two requests in a row, empty for an error.
 		wantBodies [2]string
-		// wantOpened is how many connections they must take.
+		// wantOpened is the expected number of opened connections.
 		wantOpened int64
 	}{
-		"a connection is kept": {
+		"connection is reused": {
 			script:     echoes,
 			wantBodies: [2]string{"/a%2Fb?c", "/a%2Fb?c"}, wantOpened: 1,
 		},
-		"not after a close that was announced": {
+		"not reused after Connection: close": {
 			script: func(conn net.Conn, requests *bufio.Reader, _ int64) {
 				request, _ := readRequest(requests)
 				text := reply(request.Header.Get("Request-Id"), "x")
@@ -105,11 +105,11 @@
 			},
 			wantBodies: [2]string{"x", "x"}, wantOpened: 2,
 		},
-		"not with bytes after the answer": {
+		"not reused with bytes after the response": {
 			script:     repeats,
 			wantBodies: [2]string{"x", "x"}, wantOpened: 2,
 		},
-		"an answer to an earlier request is skipped": {
+		"response to an earlier request is skipped": {
 			script: func(conn net.Conn, requests *bufio.Reader, _ int64) {
 				request, _ := readRequest(requests)
 				_, _ = io.WriteString(conn, reply("another", "late")+reply(request.Header.Get("Request-Id"), "x"))
@@ -117,11 +117,11 @@
 			},
 			wantBodies: [2]string{"x", "x"}, wantOpened: 2,
 		},
-		"no answer": {
+		"no response": {
 			script:     func(_ net.Conn, requests *bufio.Reader, _ int64) { _, _ = readRequest(requests) },
 			wantOpened: 2,
 		},
-		"an answer cut short": {
+		"truncated response": {
 			script: func(conn net.Conn, requests *bufio.Reader, _ int64) {
 				request, _ := readRequest(requests)
 				text := reply(request.Header.Get("Request-Id"), "whole")
@@ -129,7 +129,7 @@
 			},
 			wantOpened: 2,
 		},
-		"only answers to others": {
+		"only responses to other requests": {
 			script: func(conn net.Conn, requests *bufio.Reader, _ int64) {
 				_, _ = readRequest(requests)
 				_, _ = io.WriteString(conn, strings.Repeat(reply("another", "late"), 9))
@@ -143,7 +143,7 @@
 			client := newClient()
 			for i, want := range test.wantBodies {
 				got, err := send(t.Context(), client, server.address(), fmt.Sprintf("id-%d", i), "b")
-				checkAnswer(t, got, err, want)
+				checkBody(t, got, err, want)
 			}
 			assert.Equal(t, server.accepted.Load(), test.wantOpened)
 			assert.Equal(t, client.Opened(), int(test.wantOpened))
@@ -151,8 +151,8 @@
 	}
 }
 
-// checkAnswer compares an answer with the wanted one, empty for an error.
-func checkAnswer(t *testing.T, got string, err error, want string) {
+// checkBody compares a body with the expected one. An empty expected body stands for an error.
+func checkBody(t *testing.T, got string, err error, want string) {
 	t.Helper()
 	if want == "" {
 		assert.Assert(t, err != nil)
@@ -162,7 +162,7 @@
 	assert.Equal(t, got, want)
 }
 
-// echoes answers all requests with their target.
+// echoes responds to each request with its target.
 func echoes(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
@@ -173,7 +173,7 @@
 	}
 }
 
-// repeats answers all requests twice.
+// repeats responds to each request twice.
 func repeats(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
@@ -185,29 +185,29 @@
 	}
 }
 
-// TestAnswerBeforeTheBodyWasRead has a server that answers long requests without
-// reading them. What it would read next on the connection is the rest of that
-// body, so the connection must not be used again.
-func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
-	over := make(chan struct{})
+// TestResponseBeforeTheBodyWasRead has a server that responds to large requests
+// without reading them. It would read the remainder of the body as the next request,
+// so the connection must not be reused.
+func TestResponseBeforeTheBodyWasRead(t *testing.T) {
+	done := make(chan struct{})
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, _ int64) {
 		request, err := http.ReadRequest(requests)
 		if err == nil {
 			_, _ = io.WriteString(conn, reply(request.Header.Get("Request-Id"), "x"))
 		}
-		<-over // nothing is read, so the body does not fit into what sockets hold
+		<-done // nothing is read, so the body exceeds the socket buffers
 	})
 	client := newClient()
 	body := strings.Repeat("b", 64<<20)
 	for i := range 2 {
 		got, err := send(t.Context(), client, server.address(), fmt.Sprintf("id-%d", i), body)
-		checkAnswer(t, got, err, "x")
+		checkBody(t, got, err, "x")
 	}
-	close(over)
+	close(done)
 	assert.Equal(t, client.Opened(), 2)
 }
 
-func TestNothingListens(t *testing.T) {
+func TestSendFailsIfNothingListens(t *testing.T) {
 	server := newServer(t, nil)
 	_ = server.listener.Close()
 	_, err := send(t.Context(), newClient(), server.address(), "id", "b")
@@ -229,7 +229,7 @@
 	<-closed
 }
 
-// barrier lets nobody pass before a number of them have come.
+// barrier blocks goroutines until a number of them have reached it.
 type barrier struct {
 	waiting sync.WaitGroup
 }
@@ -245,8 +245,8 @@
 	barrier.waiting.Wait()
 }
 
-// sendTogether sends requests of which none is answered before all have come, so that
-// each takes a connection of its own, which is kept.
+// sendTogether sends count requests at the same time. The server must respond to none of them
+// before it has received all, so that each uses a connection of its own, which is idle afterwards.
 func sendTogether(t *testing.T, client *upstream.Client, address string, count int) {
 	t.Helper()
 	var group sync.WaitGroup
@@ -259,45 +259,46 @@
 	group.Wait()
 }
 
-// TestOpenConnectionsGoSilent has a way to a server on which open connections say
-// nothing more, without a reset, while new ones work. Each kept connection held up
-// one request of its own until it was known.
-func TestOpenConnectionsGoSilent(t *testing.T) {
-	const kept = 3
-	together := newBarrier(kept)
+// TestIdleConnectionsAreClosedAfterATimeout has a server whose open connections stop
+// responding without a reset, while new ones work. When the other idle connections
+// were not closed, each of them delayed one request until its timeout.
+func TestIdleConnectionsAreClosedAfterATimeout(t *testing.T) {
+	const idle = 3
+	together := newBarrier(idle)
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, nth int64) {
 		for {
 			request, ok := readRequest(requests)
 			if !ok {
 				return
 			}
-			if nth <= kept {
+			if nth <= idle {
 				together.pass()
 			}
 			_, _ = io.WriteString(conn, reply(request.Header.Get("Request-Id"), "whole"))
-			if nth <= kept {
-				_, _ = io.Copy(io.Discard, requests) // nothing is answered any more
+			if nth <= idle {
+				_, _ = io.Copy(io.Discard, requests) // no further response
 				return
 			}
 		}
 	})
 	client := newClient()
-	sendTogether(t, client, server.address(), kept)
+	sendTogether(t, client, server.address(), idle)
 
-	silent, cancel := context.WithCancelCause(t.Context())
-	time.AfterFunc(100*time.Millisecond, func() { cancel(errors.New("server is silent")) })
-	_, err := send(silent, client, server.address(), "lost", "")
-	assert.ErrorContains(t, err, "server is silent")
-	assert.Assert(t, !client.Kept(server.address()), "the others kept are as old")
+	ctx, cancel := context.WithCancelCause(t.Context())
+	time.AfterFunc(100*time.Millisecond, func() { cancel(errors.New("server does not respond")) })
+	_, err := send(ctx, client, server.address(), "lost", "")
+	assert.ErrorContains(t, err, "server does not respond")
+	assert.Assert(t, !client.Kept(server.address()), "the other idle connections are closed too")
 	got, err := send(t.Context(), client, server.address(), "after", "")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "whole")
 }
 
-// TestCallerThatLeavesKeepsConnections: a caller that left says nothing of a server.
-func TestCallerThatLeavesKeepsConnections(t *testing.T) {
-	const kept = 2
-	together := newBarrier(kept)
+// TestCancelledRequestKeepsIdleConnections cancels a request on a reused connection: this says nothing about the server,
+// so the idle connections must stay open.
+func TestCancelledRequestKeepsIdleConnections(t *testing.T) {
+	const idle = 2
+	together := newBarrier(idle)
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, _ int64) {
 		for {
 			request, ok := readRequest(requests)
@@ -305,7 +306,7 @@
 				return
 			}
 			id := request.Header.Get("Request-Id")
-			if id == "left" {
+			if id == "cancelled" {
 				continue
 			}
 			if strings.HasPrefix(id, "first") {
@@ -315,10 +316,10 @@
 		}
 	})
 	client := newClient()
-	sendTogether(t, client, server.address(), kept)
-	left, cancel := context.WithCancel(t.Context())
+	sendTogether(t, client, server.address(), idle)
+	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := send(left, client, server.address(), "left", "")
+	_, err := send(ctx, client, server.address(), "cancelled", "")
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, client.Kept(server.address()))
 }
