--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how a process reaches others. The real network and one
-// within a test's memory implement it.
+// Package network abstracts the network of the operating system, so that tests
+// can replace it by one in memory.
 package network
 
 import (
@@ -12,26 +12,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Network opens connections and takes them.
+// Network opens and accepts connections. Implementations are safe for concurrent use.
 type Network interface {
-	// Listen takes connections at address.
+	// Listen accepts connections at address.
 	Listen(ctx context.Context, address string) (net.Listener, error)
 	// Dial opens a connection to address.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// ListenPacket takes datagrams at address.
+	// ListenPacket receives datagrams at address.
 	ListenPacket(ctx context.Context, address string) (net.PacketConn, error)
 }
 
-// Settings tune connections that this process opens.
+// Settings limit the connections that this process opens.
 type Settings struct {
-	// DialTimeout is how long a new connection may take. Data centres are a
-	// few milliseconds apart; who takes longer is dark.
+	// DialTimeout is how long opening a connection may take. The round trip between
+	// data centres takes a few milliseconds, so a peer that takes longer is unreachable.
 	DialTimeout time.Duration `yaml:"dial_timeout" validate:"min=10ms,max=10s"`
-	// UserTimeout is how long sent bytes may stay without acknowledgement.
+	// UserTimeout is how long sent data may remain unacknowledged before the connection is closed.
 	UserTimeout time.Duration `yaml:"user_timeout" validate:"min=100ms,max=30s"`
 }
 
-// DefaultSettings returns settings for data centres of one city.
+// DefaultSettings returns settings for VMs in several data centres of one city.
 func DefaultSettings() Settings {
 	return Settings{
 		DialTimeout: 500 * time.Millisecond,
@@ -39,14 +39,14 @@
 	}
 }
 
-// Probes of connections on which nothing is sent. The system takes whole
-// seconds; two probes notice a dark peer in about two.
+// Keep-alive probes on idle connections. The system accepts whole seconds only; with
+// two probes an unreachable peer is detected in about 2 s.
 const (
 	keepAliveTime   = time.Second
 	keepAliveProbes = 2
 )
 
-// System is the real network.
+// System is the network of the operating system.
 type System struct {
 	dialer net.Dialer
 	listen net.ListenConfig
@@ -54,7 +54,7 @@
 
 var _ Network = System{}
 
-// New returns the real network.
+// New returns the network of the operating system.
 func New(settings Settings) System {
 	return System{dialer: net.Dialer{
 		Timeout: settings.DialTimeout,
@@ -65,32 +65,32 @@
 	}}
 }
 
-// Listen implements Network.
+// Listen implements Network with TCP over IPv4.
 func (system System) Listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := system.listen.Listen(ctx, "tcp4", address)
 	return listener, errors.WithStack(err)
 }
 
-// Dial implements Network.
+// Dial implements Network with TCP over IPv4.
 func (system System) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := system.dialer.DialContext(ctx, "tcp4", address)
 	return conn, errors.WithStack(err)
 }
 
-// ListenPacket implements Network.
+// ListenPacket implements Network with UDP over IPv4.
 func (system System) ListenPacket(ctx context.Context, address string) (net.PacketConn, error) {
 	conn, err := system.listen.ListenPacket(ctx, "udp4", address)
 	return conn, errors.WithStack(err)
 }
 
-// control sets how long sent bytes may stay without acknowledgement, so that a
-// dark server is noticed.
+// control returns a function that sets TCP_USER_TIMEOUT on a socket, so that a
+// connection to an unreachable server fails.
 func control(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
-		return errors.CombineErrors(err, failed)
+		return errors.CombineErrors(err, optionErr)
 	}
 }
--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// idleTime is how long a connection of a transport is kept without a call.
+// idleTimeout is how long an idle connection of a transport is kept.
 const idleTime = 10 * time.Second
 
-// NewTransport returns a transport for HTTP calls over the network.
+// NewTransport returns a transport that sends HTTP requests over network.
 func NewTransport(network Network) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/internal/network/transport_test.go
+++ b/internal/network/transport_test.go
@@ -14,10 +14,10 @@
 	"github.com/mastwinch/mastwinch/internal/network"
 )
 
-// TestQuestionAfterASilentConnectionGetsANewOne has a peer whose first connection goes
-// silent for good after one answer, without a reset, while new ones work. It costs one
-// question, as long as the asker's own bound.
-func TestQuestionAfterASilentConnectionGetsANewOne(t *testing.T) {
+// TestNewConnectionAfterATimeout has a peer whose first connection stops responding
+// after one response, without a reset, while new ones work. Only one request may
+// fail, at its own timeout; the next one must use a new connection.
+func TestNewConnectionAfterATimeout(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -27,12 +27,12 @@
 			if err != nil {
 				return
 			}
-			go answer(conn, nth == 0)
+			go respond(conn, nth == 0)
 		}
 	}()
 	client := &http.Client{Transport: network.NewTransport(network.New(network.DefaultSettings()))}
-	ask := func(patience time.Duration) error {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	call := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+listener.Addr().String()+"/", nil)
 		assert.NilError(t, err)
@@ -44,13 +44,13 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		return err
 	}
-	assert.NilError(t, ask(5*time.Second))
-	assert.ErrorIs(t, ask(100*time.Millisecond), context.DeadlineExceeded)
-	assert.NilError(t, ask(5*time.Second))
+	assert.NilError(t, call(5*time.Second))
+	assert.ErrorIs(t, call(100*time.Millisecond), context.DeadlineExceeded)
+	assert.NilError(t, call(5*time.Second))
 }
 
-// answer answers requests on a connection, or just the first one.
-func answer(conn net.Conn, once bool) {
+// respond responds to the requests on a connection, or to the first one only.
+func respond(conn net.Conn, once bool) {
 	defer func() { _ = conn.Close() }()
 	requests := bufio.NewReader(conn)
 	for {
