--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -47,13 +47,13 @@
 	asleep atomic.Int64
 
 	mu sync.Mutex
-	// callbacks has the functions that are called after a suspension.
+	// registered has the functions that are called after a suspension.
 	wakes map[*wake]bool
 }
 
 // callback is a function that is called after a suspension. A pointer to it is its identity.
 type wake struct {
-	call func(slept time.Duration)
+	call func(suspension time.Duration)
 }
 
 // New returns a clock that reads source. It fails if source fails.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -110,20 +110,20 @@
 
 // BenchmarkNow measures reading the time.
 func BenchmarkNow(b *testing.B) {
-	clock, err := clock.New(clock.Boottime)
+	systemClock, err := clock.New(clock.Boottime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		clock.Now()
+		systemClock.Now()
 	}
 }
 
 // BenchmarkSync measures a check for a suspension, which is made for each request and
 // 20 times a second.
 func BenchmarkSync(b *testing.B) {
-	clock, err := clock.New(clock.Boottime)
+	systemClock, err := clock.New(clock.Boottime)
 	assert.NilError(b, err)
 	for b.Loop() {
-		clock.Sync()
+		systemClock.Sync()
 	}
 }
 
--- a/internal/feed/codec.go
+++ b/internal/feed/codec.go
@@ -37,7 +37,8 @@
 	return page
 }
 
-// errNoContent is returned when a peer answers with status 503 because its own source is not responding.
+// errNoContent is returned when a peer answers with status 503 because it has no current content, for example
+// since its source is not responding.
 var errNothing = errors.New("feed: peer has no current content")
 
 // fetch requests one page from a peer. It fails if the page is of an earlier epoch than the current one.
--- a/internal/feed/epoch_test.go
+++ b/internal/feed/epoch_test.go
@@ -12,7 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/follower"
 )
 
-// inEpoch returns page with its epoch set to number.
+// withEpoch returns page with its epoch set to number.
 func inEpoch(page follower.Page, number epoch.Number) follower.Page {
 	page.Epoch = number
 	return page
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -208,7 +208,7 @@
 	return log.members.Role(log.settings.MinMembers, log.avoids)
 }
 
-// minUsefulAge is the smallest limit on the age of a page at which reading from peers is worthwhile.
+// minUsefulAge is the value that maxAge must exceed for reads from peers to be worthwhile.
 const leastAge = 600 * time.Millisecond
 
 // maxReaderWait bounds how long a read waits at the store for a change if peers read from this VM.
@@ -263,11 +263,11 @@
 	log.logger.Info("could not read log from peer", "log", log.name, "address", address, "error", err)
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	duration := log.settings.Avoid
+	time := log.settings.Avoid
 	if errors.Is(err, errNothing) {
-		duration = log.settings.AvoidLost
+		time = log.settings.AvoidLost
 	}
-	log.avoided[address] = log.now().Add(duration)
+	log.avoided[address] = log.now().Add(time)
 }
 
 // logReader logs a change of the reader from which this VM reads.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -53,7 +53,7 @@
 	return follower.Page{Next: 1, Whole: true, Records: []follower.Record{{Key: "direct", Value: []byte("1")}}}, nil
 }
 
-// members returns a fixed role.
+// members is a membership with a fixed role.
 type members struct {
 	role feed.Role
 }
@@ -71,12 +71,12 @@
 
 func TestRead(t *testing.T) {
 	tests := map[string]struct {
-		role  feed.Role
-		bound time.Duration
+		role     feed.Role
+		maxDelay time.Duration
 		// age is the age of the reader's content; a negative age means that it has none.
-		age  time.Duration
-		dark bool
-		want string
+		age         time.Duration
+		unreachable bool
+		want        string
 		// wantWait is the wait of a read from the store, if there is one.
 		wantWait time.Duration
 		// wantAtOnce says that the first read from the store does not wait, since it
@@ -84,31 +84,31 @@
 		wantAtOnce bool
 	}{
 		"from a reader": {
-			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, want: "through",
+			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, want: "through",
 		},
 		"from the store without a reader": {
-			bound: 3 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
+			maxDelay: 3 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
 		"from the store with a short wait as a reader": {
-			role: feed.Role{Serves: true}, bound: 3 * time.Second, want: "direct", wantWait: 602 * time.Millisecond,
+			role: feed.Role{Serves: true}, maxDelay: 3 * time.Second, want: "direct", wantWait: 602 * time.Millisecond,
 		},
 		"from the store with a longer wait as a reader with a larger delay": {
-			role: feed.Role{Serves: true}, bound: 5 * time.Second, want: "direct", wantWait: 1462 * time.Millisecond,
+			role: feed.Role{Serves: true}, maxDelay: 5 * time.Second, want: "direct", wantWait: 1462 * time.Millisecond,
 		},
 		// A reader to which the store did not respond kept its peers at an old configuration.
 		"from the store if the reader's content is too old": {
-			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, age: 1500 * time.Millisecond,
+			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, age: 1500 * time.Millisecond,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 		"from the store if the delay leaves no time for readers": {
-			role: feed.Role{Ask: readerAddress}, bound: 2 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
+			role: feed.Role{Ask: readerAddress}, maxDelay: 2 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
 		"from the store if the reader is unreachable": {
-			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, dark: true,
+			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, unreachable: true,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 		"from the store if the reader has no content": {
-			role: feed.Role{Ask: readerAddress}, bound: 3 * time.Second, age: -1,
+			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, age: -1,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 	}
@@ -127,13 +127,13 @@
 				server := &http.Server{Handler: feed.Handler(map[string]*follower.Tail{"log": tail}, epoch.New(time.Now), slog.New(slog.DiscardHandler))}
 				go func() { _ = server.Serve(listener) }()
 				defer func() { _ = server.Close() }()
-				network.SetDark(readerAddress, test.dark)
+				network.SetDark(readerAddress, test.unreachable)
 				transport := &http.Transport{
 					DialContext:       func(ctx context.Context, _, address string) (net.Conn, error) { return network.Dial(ctx, address) },
 					DisableKeepAlives: true,
 				}
 				store := newStore()
-				log := feed.New("log", store, members{role: test.role}, func() time.Duration { return test.bound },
+				log := feed.New("log", store, members{role: test.role}, func() time.Duration { return test.maxDelay },
 					transport, feed.DefaultSettings(), epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 				for range 2 { // in the second round a reader that failed is not used
 					startedAt := time.Now()
--- a/internal/feed/readers_test.go
+++ b/internal/feed/readers_test.go
@@ -19,17 +19,18 @@
 
 const secondAddress = "10.0.0.2:7340"
 
-// several returns the first address that is not avoided as the reader. Its members are unknown before the time known.
+// peers is a membership whose reader is the first address that is not avoided. The members are unknown before
+// knownFrom.
 type several struct {
 	addresses []string
 	known     time.Time
 }
 
-func (several several) Role(_ int, avoid func(string) bool) feed.Role {
-	if time.Now().Before(several.known) {
+func (peers several) Role(_ int, avoid func(string) bool) feed.Role {
+	if time.Now().Before(peers.known) {
 		return feed.Role{Unsettled: true}
 	}
-	for _, address := range several.addresses {
+	for _, address := range peers.addresses {
 		if !avoid(address) {
 			return feed.Role{Ask: address}
 		}
@@ -38,20 +39,20 @@
 }
 
 // LivePeers returns the addresses once the members are known.
-func (several several) Others(limit int) ([]string, bool) {
-	if time.Now().Before(several.known) {
+func (peers several) Others(limit int) ([]string, bool) {
+	if time.Now().Before(peers.known) {
 		return nil, false
 	}
-	return several.addresses[:min(limit, len(several.addresses))], true
+	return peers.addresses[:min(limit, len(peers.addresses))], true
 }
 
-// readers starts two readers and returns their tails, the store, and a log that reads from them.
+// startReaders starts two readers and returns their tails, the store, and a log that reads from them.
 func readers(t *testing.T, members feed.Members) (first, second *follower.Tail, store *store, log *feed.Log) {
 	t.Helper()
 	return readersIn(t, members, epoch.New(time.Now))
 }
 
-// readersIn is like readers, with the epochs of the log given.
+// startReadersIn is like startReaders, with the epochs of the log given.
 func readersIn(
 	t *testing.T, members feed.Members, epochs *epoch.Watch,
 ) (first, second *follower.Tail, store *store, log *feed.Log) {
@@ -130,8 +131,8 @@
 // content yet. It must wait for both; without waiting it made four calls to the store.
 func TestStartReadsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		known := time.Now().Add(20 * time.Millisecond)
-		first, _, store, log := readers(t, several{addresses: []string{readerAddress}, known: known})
+		knownFrom := time.Now().Add(20 * time.Millisecond)
+		first, _, store, log := readers(t, several{addresses: []string{readerAddress}, known: knownFrom})
 		time.AfterFunc(30*time.Millisecond, func() { first.Add(content("first"), time.Now()) })
 		page, err := log.Read(t.Context(), follower.Position{}, time.Second)
 		assert.NilError(t, err)
@@ -156,7 +157,7 @@
 	})
 }
 
-// turnedAway is the membership of a VM to whose readers the store does not respond.
+// failedReaders is the membership of a VM to whose readers the store does not respond.
 type turnedAway struct{}
 
 func (turnedAway) Others(int) ([]string, bool) { return nil, true }
@@ -215,8 +216,8 @@
 	})
 }
 
-// cutOff is the membership of a VM whose readers last reported that the store does not respond, and that are unreachable
-// now.
+// unreachableReaders is the membership of a VM whose readers last reported that the store does not respond, and that
+// are unreachable now.
 type cutOff struct{}
 
 func (cutOff) Others(int) ([]string, bool) { return nil, true }
--- a/internal/follower/value_set.go
+++ b/internal/follower/contents.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// valueSet has the current values of a source. It merges what is read into them and keeps a value that is newer than
+// contents has the current values of a source. It merges what is read into them and keeps a value that is newer than
 // the one read.
 type base[T any] struct {
 	// newer reports whether a is newer than b.
@@ -40,78 +40,78 @@
 }
 
 // isNewer reports whether both entries have a value and that of a is newer.
-func (base *base[T]) isNewer(a, b held[T]) bool {
-	return a.change.Value != nil && b.change.Value != nil && base.newer(*a.change.Value, *b.change.Value)
+func (contents *base[T]) isNewer(a, b held[T]) bool {
+	return a.change.Value != nil && b.change.Value != nil && contents.newer(*a.change.Value, *b.change.Value)
 }
 
-// applyChanges merges changes into the current values, and returns those that were applied.
-func (base *base[T]) change(read []held[T], now time.Time) []held[T] {
+// change merges changes into the current values, and returns those that were applied.
+func (contents *base[T]) change(read []held[T], now time.Time) []held[T] {
 	applied := make([]held[T], 0, len(read))
 	for _, next := range read {
 		key := next.record.Key
-		current, found := base.values[key]
+		current, found := contents.values[key]
 		switch {
 		case len(next.record.Value) == 0:
-			base.drop(key, now)
-		case found && base.isNewer(current, next):
-			base.behind[key] = true
+			contents.drop(key, now)
+		case found && contents.isNewer(current, next):
+			contents.behind[key] = true
 			continue
 		default:
-			base.take(next)
+			contents.take(next)
 		}
 		applied = append(applied, next)
 	}
 	return applied
 }
 
-// replaceAll replaces the current values by those read, and returns the resulting values. While the source is unsettled,
+// replace replaces the current values by those read, and returns the resulting values. While the source is unsettled,
 // a value that is missing from those read is kept, and a dropped value that reappears is ignored unless it is newer.
-func (base *base[T]) replace(read []held[T], unsettled bool, now time.Time) []held[T] {
-	maps.DeleteFunc(base.dropped, func(_ string, entry held[T]) bool { return now.Sub(entry.at) > droppedTime })
-	values := make([]held[T], 0, len(read))
+func (contents *base[T]) replace(read []held[T], unsettled bool, now time.Time) []held[T] {
+	maps.DeleteFunc(contents.dropped, func(_ string, previous held[T]) bool { return now.Sub(previous.at) > droppedTime })
+	merged := make([]held[T], 0, len(read))
 	present := make(map[string]bool, len(read))
 	for _, next := range read {
 		key := next.record.Key
-		current, found := base.values[key]
-		previous, wasDropped := base.dropped[key]
+		current, found := contents.values[key]
+		previous, wasDropped := contents.dropped[key]
 		switch {
-		case unsettled && wasDropped && !base.isNewer(next, previous):
+		case unsettled && wasDropped && !contents.isNewer(next, previous):
 			continue
-		case found && base.isNewer(current, next):
-			base.behind[key] = true
+		case found && contents.isNewer(current, next):
+			contents.behind[key] = true
 			next = current
 		default:
-			base.take(next)
+			contents.take(next)
 		}
 		present[key] = true
-		values = append(values, next)
+		merged = append(merged, next)
 	}
-	for key, current := range base.values {
+	for key, current := range contents.values {
 		switch {
 		case present[key]:
 		case unsettled:
-			values = append(values, current)
+			merged = append(merged, current)
 		default:
-			base.drop(key, now)
+			contents.drop(key, now)
 		}
 	}
-	return values
+	return merged
 }
 
-func (base *base[T]) take(next held[T]) {
+func (contents *base[T]) take(next held[T]) {
 	key := next.record.Key
-	base.values[key] = next
-	delete(base.dropped, key)
-	delete(base.behind, key)
+	contents.values[key] = next
+	delete(contents.dropped, key)
+	delete(contents.behind, key)
 }
 
-func (base *base[T]) drop(key string, now time.Time) {
-	current, found := base.values[key]
+func (contents *base[T]) drop(key string, now time.Time) {
+	current, found := contents.values[key]
 	if !found {
 		return
 	}
 	current.at = now
-	base.dropped[key] = current
-	delete(base.values, key)
-	delete(base.behind, key)
+	contents.dropped[key] = current
+	delete(contents.values, key)
+	delete(contents.behind, key)
 }
--- a/internal/follower/value_set_internal_test.go
+++ b/internal/follower/contents_internal_test.go
@@ -46,23 +46,23 @@
 	return numbers
 }
 
-// TestReplaceAll starts with values a and b of number 2 and replaces them by what is read.
-func TestReplaceAll(t *testing.T) {
+// TestReplace starts with values a and b of number 2 and replaces them by what is read.
+func TestReplace(t *testing.T) {
 	for name, test := range map[string]struct {
 		// dropped is a key that is dropped before the read, or empty.
 		dropped   string
 		read      []held[int]
 		unsettled bool
 		want      map[string]int
-		behind    int
+		outdated  int
 	}{
 		"newer values": {read: []held[int]{numbered("a", 3), numbered("b", 3)}, want: map[string]int{"a": 3, "b": 3}},
 		"an older value": {
-			read: []held[int]{numbered("a", 1), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}, behind: 1,
+			read: []held[int]{numbered("a", 1), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}, outdated: 1,
 		},
 		"a missing key":                         {read: []held[int]{numbered("a", 2)}, want: map[string]int{"a": 2}},
 		"a missing key, unsettled":              {read: []held[int]{numbered("a", 2)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}},
-		"an older value, unsettled":             {read: []held[int]{numbered("a", 1)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}, behind: 1},
+		"an older value, unsettled":             {read: []held[int]{numbered("a", 1)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}, outdated: 1},
 		"no values, unsettled":                  {unsettled: true, want: map[string]int{"a": 2, "b": 2}},
 		"a dropped value":                       {dropped: "b", read: []held[int]{numbered("a", 2), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}},
 		"a dropped value, unsettled":            {dropped: "b", read: []held[int]{numbered("a", 2), numbered("b", 2)}, unsettled: true, want: map[string]int{"a": 2}},
@@ -70,14 +70,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			base := newNumbered()
-			base.replace([]held[int]{numbered("a", 2), numbered("b", 2)}, false, now)
+			contents := newNumbered()
+			contents.replace([]held[int]{numbered("a", 2), numbered("b", 2)}, false, now)
 			if test.dropped != "" {
-				base.change([]held[int]{numbered(test.dropped, 0)}, now)
+				contents.change([]held[int]{numbered(test.dropped, 0)}, now)
 			}
-			got := base.replace(test.read, test.unsettled, now)
+			got := contents.replace(test.read, test.unsettled, now)
 			assert.DeepEqual(t, shown(got), test.want)
-			assert.Equal(t, len(base.behind), test.behind)
+			assert.Equal(t, len(contents.behind), test.outdated)
 		})
 	}
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawRead draws numbers for some keys. Zero, which drops a key, is drawn for changes only.
+// drawNumbers draws numbers for some keys. Zero, which drops a key, is drawn for changes only.
 func drawRead(t *rapid.T, whole bool) map[string]int {
 	minimum := 0
 	if whole {
@@ -126,11 +126,11 @@
 	return rapid.MapOfN(keys, rapid.IntRange(minimum, 5), 0, 4).Draw(t, "read")
 }
 
-// TestValueSetMatchesOracle draws pages, and compares the resulting values with those of the oracle.
-func TestValueSetMatchesOracle(t *testing.T) {
+// TestContentsMatchOracle draws pages, and compares the resulting values with those of the oracle.
+func TestContentsMatchOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		base := newNumbered()
+		contents := newNumbered()
 		oracle := &oracle{expected: make(map[string]int), dropped: make(map[string]int)}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			whole, unsettled := rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "unsettled")
@@ -140,12 +140,12 @@
 				list = append(list, numbered(key, number))
 			}
 			if whole {
-				base.replace(list, unsettled, now)
+				contents.replace(list, unsettled, now)
 			} else {
-				base.change(list, now)
+				contents.change(list, now)
 			}
 			oracle.read(read, whole, unsettled)
-			values := slices.Collect(maps.Values(base.values))
+			values := slices.Collect(maps.Values(contents.values))
 			assert.DeepEqual(t, shown(values), oracle.expected)
 		}
 	})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -72,8 +72,8 @@
 // Refresh ends the current read or pause and reads again at once. It is for the time after a suspension of the machine:
 // a response to the earlier read confirms only old values, and timers did not run during the suspension.
 func (follower *Follower[T]) Renew() {
-	if cancel := follower.giveUp.Load(); cancel != nil {
-		(*cancel)(errRenewed)
+	if cancelRound := follower.giveUp.Load(); cancelRound != nil {
+		(*cancelRound)(errRenewed)
 	}
 }
 
@@ -89,11 +89,11 @@
 func (follower *Follower[T]) Run(ctx context.Context) {
 	current := progress{pause: follower.settings.RetryMin}
 	for ctx.Err() == nil {
-		round, cancel := context.WithCancelCause(ctx)
-		follower.giveUp.Store(&cancel)
+		round, cancelRound := context.WithCancelCause(ctx)
+		follower.giveUp.Store(&cancelRound)
 		current = follower.round(round, current)
 		current.hurry = errors.Is(context.Cause(round), errRenewed)
-		cancel(nil)
+		cancelRound(nil)
 	}
 }
 
--- a/internal/follower/log.go
+++ b/internal/follower/log.go
@@ -57,7 +57,7 @@
 	Epoch epoch.Number
 	// Next is the offset of the next change.
 	Next int64
-	// Snapshot says that Records has the latest values of all keys, and not
+	// Whole says that Records has the latest values of all keys, and not
 	// changes.
 	Whole bool
 	// Age is the time from the last confirmation of the content as current to
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,7 +37,7 @@
 	OpenMin   time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenTimes float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax   time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// OpenMemory is how long the time that the last connection took is kept.
+	// OpenMemory is how long the times of connection attempts are kept.
 	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
@@ -160,15 +160,15 @@
 // acquire returns an idle connection that can be reused, or a new one.
 func (client *Client) take(ctx context.Context, address string) (*connection, error) {
 	for {
-		idle := client.pop(address)
-		if idle == nil {
+		pooled := client.pop(address)
+		if pooled == nil {
 			break
 		}
-		if idle.quiet() && client.now().Before(idle.goodUntil) {
-			idle.kept = true
-			return idle, nil
+		if pooled.quiet() && client.now().Before(pooled.goodUntil) {
+			pooled.kept = true
+			return pooled, nil
 		}
-		idle.close()
+		pooled.close()
 	}
 	dialled, err := client.openings.dial(ctx, client.dialer, address)
 	if err != nil {
@@ -206,12 +206,12 @@
 func (client *Client) pop(address string) *connection {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	idle := client.idle[address]
-	if len(idle) == 0 {
+	connections := client.idle[address]
+	if len(connections) == 0 {
 		return nil
 	}
-	last := idle[len(idle)-1]
-	client.idle[address] = idle[:len(idle)-1]
+	last := connections[len(connections)-1]
+	client.idle[address] = connections[:len(connections)-1]
 	return last
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -32,7 +32,7 @@
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
-	// reused says that an earlier request was sent on it.
+	// pooled says that it came from the idle connections, so that an earlier request was sent on it.
 	kept bool
 	// expiresAt is when it expires while it is idle.
 	goodUntil time.Time
@@ -65,14 +65,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isQuiet := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buffer [1]byte
 		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		isQuiet = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && isQuiet
 }
 
 // roundTrip writes a request and reads responses up to the header of the one that matches.
--- a/internal/upstream/dial_history.go
+++ b/internal/upstream/history.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dialHistory records how long it took to open connections to servers, and derives the timeout for the next one.
+// history records how long it took to open connections to servers, and derives the timeout for the next one.
 //
 // A short timeout matters if data centres are disconnected or links lose packets: a lost packet of a new connection is
 // sent again only after a second, and within that time the request can meet its deadline on another server.
@@ -21,24 +21,24 @@
 	byAddress map[string]opening
 }
 
-// dialRecord describes the connection attempts to one server.
+// attempts describes the connection attempts to one server.
 type opening struct {
 	// duration is how long the last successful attempt took, or zero if none succeeded.
 	took time.Duration
 	// timeouts is the number of attempts that timed out since.
 	misses int
-	// updatedAt is when the last attempt ended.
+	// updatedAt is when the last recorded attempt ended.
 	at time.Time
 }
 
 // timeout returns the timeout for the next attempt. It doubles with each attempt that timed out, so that a distant server
 // is reached after some attempts.
-func (opening opening) patience(settings Settings) time.Duration {
-	timeout := max(settings.OpenMin, time.Duration(settings.OpenTimes*float64(opening.took)))
-	for range opening.misses {
-		timeout = min(2*timeout, settings.OpenMax)
+func (attempts opening) patience(settings Settings) time.Duration {
+	limit := max(settings.OpenMin, time.Duration(settings.OpenTimes*float64(attempts.took)))
+	for range attempts.misses {
+		limit = min(2*limit, settings.OpenMax)
 	}
-	return min(timeout, settings.OpenMax)
+	return min(limit, settings.OpenMax)
 }
 
 func newOpenings(settings Settings, now func() time.Time) *openings {
@@ -47,48 +47,48 @@
 
 // dial opens a connection with a timeout derived from the earlier ones to address, and records the outcome. An attempt
 // that ends because of ctx is not recorded.
-func (openings *openings) dial(ctx context.Context, dialer Dialer, address string) (net.Conn, error) {
-	startedAt := openings.now()
-	bounded, cancel := context.WithTimeout(ctx, openings.of(address).patience(openings.settings))
+func (history *openings) dial(ctx context.Context, dialer Dialer, address string) (net.Conn, error) {
+	startedAt := history.now()
+	bounded, cancel := context.WithTimeout(ctx, history.of(address).patience(history.settings))
 	defer cancel()
 	dialled, err := dialer.Dial(bounded, address)
 	switch {
 	case err == nil:
-		openings.set(address, opening{took: openings.now().Sub(startedAt)})
+		history.set(address, opening{took: history.now().Sub(startedAt)})
 		return dialled, nil
 	case ctx.Err() == nil && bounded.Err() != nil:
-		openings.miss(address)
+		history.miss(address)
 	}
 	return nil, errors.WithStack(err)
 }
 
-func (openings *openings) of(address string) opening {
-	openings.mu.Lock()
-	defer openings.mu.Unlock()
-	return openings.byAddress[address]
+func (history *openings) of(address string) opening {
+	history.mu.Lock()
+	defer history.mu.Unlock()
+	return history.byAddress[address]
 }
 
-func (openings *openings) set(address string, record opening) {
-	openings.mu.Lock()
-	defer openings.mu.Unlock()
-	record.at = openings.now()
-	openings.byAddress[address] = record
+func (history *openings) set(address string, record opening) {
+	history.mu.Lock()
+	defer history.mu.Unlock()
+	record.at = history.now()
+	history.byAddress[address] = record
 }
 
-func (openings *openings) miss(address string) {
-	record := openings.of(address)
+func (history *openings) miss(address string) {
+	record := history.of(address)
 	record.misses++
-	openings.set(address, record)
+	history.set(address, record)
 }
 
 // sweep drops the records of servers without an attempt within Settings.OpenMemory.
-func (openings *openings) sweep() {
-	openings.mu.Lock()
-	defer openings.mu.Unlock()
-	oldest := openings.now().Add(-openings.settings.OpenMemory)
-	for address, record := range openings.byAddress {
+func (history *openings) sweep() {
+	history.mu.Lock()
+	defer history.mu.Unlock()
+	oldest := history.now().Add(-history.settings.OpenMemory)
+	for address, record := range history.byAddress {
 		if record.at.Before(oldest) {
-			delete(openings.byAddress, address)
+			delete(history.byAddress, address)
 		}
 	}
 }
--- a/internal/upstream/dial_history_internal_test.go
+++ b/internal/upstream/history_internal_test.go
@@ -42,32 +42,32 @@
 		return times
 	}
 	for name, test := range map[string]struct {
-		// delays has the delay of each connection, zero if it never opens.
-		delays []time.Duration
+		// delay has the delay of each connection, zero if it never opens.
+		delay []time.Duration
 		// waits has the expected time until each attempt ends.
 		waits []time.Duration
 	}{
-		"near":                            {delays: ms(3, 3), waits: ms(3, 3)},
-		"near, then unreachable":          {delays: ms(3, never), waits: ms(3, 150)},
-		"unreachable":                     {delays: ms(never, never, never, never), waits: ms(150, 300, 500, 500)},
-		"unreachable, then near":          {delays: ms(never, never, 3, never), waits: ms(150, 300, 3, 150)},
-		"far":                             {delays: ms(240, 240, 240), waits: ms(150, 240, 240)},
-		"far, then unreachable":           {delays: ms(100, never, never), waits: ms(100, 400, 500)},
-		"delay above the maximum timeout": {delays: ms(900, 900, 900), waits: ms(150, 300, 500)},
-		"far, then an hour of delay":      {delays: ms(100, 3_600_000), waits: ms(100, 400)},
+		"near":                            {delay: ms(3, 3), waits: ms(3, 3)},
+		"near, then unreachable":          {delay: ms(3, never), waits: ms(3, 150)},
+		"unreachable":                     {delay: ms(never, never, never, never), waits: ms(150, 300, 500, 500)},
+		"unreachable, then near":          {delay: ms(never, never, 3, never), waits: ms(150, 300, 3, 150)},
+		"far":                             {delay: ms(240, 240, 240), waits: ms(150, 240, 240)},
+		"far, then unreachable":           {delay: ms(100, never, never), waits: ms(100, 400, 500)},
+		"delay above the maximum timeout": {delay: ms(900, 900, 900), waits: ms(150, 300, 500)},
+		"far, then an hour of delay":      {delay: ms(100, 3_600_000), waits: ms(100, 400)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				openings := newOpenings(DefaultSettings(), time.Now)
-				for index, delay := range test.delays {
+				history := newOpenings(DefaultSettings(), time.Now)
+				for index, delay := range test.delay {
 					startedAt := time.Now()
-					_, err := openings.dial(t.Context(), &distant{delay: delay}, "a")
+					_, err := history.dial(t.Context(), &distant{delay: delay}, "a")
 					assert.Equal(t, time.Since(startedAt), test.waits[index])
 					assert.Equal(t, err == nil, delay == test.waits[index])
 				}
 				time.Sleep(2 * DefaultSettings().OpenMemory)
-				openings.sweep()
-				assert.Equal(t, len(openings.byAddress), 0)
+				history.sweep()
+				assert.Equal(t, len(history.byAddress), 0)
 			})
 		})
 	}
@@ -77,11 +77,11 @@
 // so it must not count as a timeout.
 func TestCancelledDialIsNotRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		openings := newOpenings(DefaultSettings(), time.Now)
+		history := newOpenings(DefaultSettings(), time.Now)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
-		_, err := openings.dial(ctx, &distant{}, "a")
+		_, err := history.dial(ctx, &distant{}, "a")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Equal(t, len(openings.byAddress), 0)
+		assert.Equal(t, len(history.byAddress), 0)
 	})
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -162,7 +162,7 @@
 	assert.Equal(t, got, want)
 }
 
-// echoes responds to each request with its target.
+// echo responds to each request with its target.
 func echoes(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
@@ -173,7 +173,7 @@
 	}
 }
 
-// repeats responds to each request twice.
+// respondTwice responds to each request twice.
 func repeats(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
