--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -19,10 +19,10 @@
 
 const (
 	// pollInterval is the time between checks for a suspension.
-	tick = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// minSuspension is the shortest difference of the clocks that counts as a suspension. A shorter one may be caused by
 	// the scheduling of threads.
-	shortest = 10 * time.Millisecond
+	minSuspension = 10 * time.Millisecond
 )
 
 // Source returns the time since the machine was started, including the time in which it was suspended.
@@ -41,18 +41,18 @@
 type Clock struct {
 	source Source
 	// startedAt and sourceStart are the times at which the clock was created, by the runtime and by the source.
-	started time.Time
-	booted  time.Duration
+	startedAt   time.Time
+	sourceStart time.Duration
 	// suspended is the total time in nanoseconds for which the machine was suspended since then. It never decreases.
-	asleep atomic.Int64
+	suspended atomic.Int64
 
 	mu sync.Mutex
 	// registered has the functions that are called after a suspension.
-	wakes map[*wake]bool
+	registered map[*callback]bool
 }
 
 // callback is a function that is called after a suspension. A pointer to it is its identity.
-type wake struct {
+type callback struct {
 	call func(suspension time.Duration)
 }
 
@@ -62,17 +62,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Clock{source: source, started: time.Now(), booted: sourceStart, wakes: make(map[*wake]bool)}, nil
+	return &Clock{source: source, startedAt: time.Now(), sourceStart: sourceStart, registered: make(map[*callback]bool)}, nil
 }
 
 // Now returns the current time. Differences between times include the suspensions that Sync has detected.
 func (clock *Clock) Now() time.Time {
-	return time.Now().Add(time.Duration(clock.asleep.Load()))
+	return time.Now().Add(time.Duration(clock.suspended.Load()))
 }
 
 // ForTimers converts a time of this clock to one for timers, contexts and connection deadlines of the runtime.
 func (clock *Clock) ForTimers(instant time.Time) time.Time {
-	return instant.Add(-time.Duration(clock.asleep.Load()))
+	return instant.Add(-time.Duration(clock.suspended.Load()))
 }
 
 // Sync checks whether the machine was suspended since the last check. If so, it calls the functions registered with
@@ -85,44 +85,44 @@
 	}
 	// The clock of the runtime is read last, so that a delay of the thread between the two reads does not
 	// count as a suspension.
-	suspended := sourceNow - clock.booted - time.Since(clock.started)
-	previous := clock.asleep.Load()
+	suspended := sourceNow - clock.sourceStart - time.Since(clock.startedAt)
+	previous := clock.suspended.Load()
 	suspension := suspended - time.Duration(previous)
-	if suspension < shortest || !clock.asleep.CompareAndSwap(previous, int64(suspended)) {
+	if suspension < minSuspension || !clock.suspended.CompareAndSwap(previous, int64(suspended)) {
 		return 0
 	}
-	for _, callback := range clock.waiting() {
+	for _, callback := range clock.callbacks() {
 		callback.call(suspension)
 	}
 	return suspension
 }
 
-func (clock *Clock) waiting() []*wake {
+func (clock *Clock) callbacks() []*callback {
 	clock.mu.Lock()
 	defer clock.mu.Unlock()
-	callbacks := make([]*wake, 0, len(clock.wakes))
-	for callback := range clock.wakes {
+	callbacks := make([]*callback, 0, len(clock.registered))
+	for callback := range clock.registered {
 		callbacks = append(callbacks, callback)
 	}
 	return callbacks
 }
 
 // AfterResume calls call after each suspension with its duration, until stop is called. The function must not block.
-func (clock *Clock) AfterWake(call func(suspension time.Duration)) (stop func()) {
-	added := &wake{call: call}
+func (clock *Clock) AfterResume(call func(suspension time.Duration)) (stop func()) {
+	added := &callback{call: call}
 	clock.mu.Lock()
 	defer clock.mu.Unlock()
-	clock.wakes[added] = true
+	clock.registered[added] = true
 	return func() {
 		clock.mu.Lock()
 		defer clock.mu.Unlock()
-		delete(clock.wakes, added)
+		delete(clock.registered, added)
 	}
 }
 
 // Run calls Sync at intervals until ctx is done.
 func (clock *Clock) Run(ctx context.Context) {
-	for wait.For(ctx, tick) {
+	for wait.For(ctx, pollInterval) {
 		clock.Sync()
 	}
 }
@@ -132,7 +132,7 @@
 func (clock *Clock) WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := time.AfterFunc(deadline.Sub(clock.Now()), func() { cancel(context.DeadlineExceeded) })
-	stop := clock.AfterWake(func(time.Duration) { timer.Reset(deadline.Sub(clock.Now())) })
+	stop := clock.AfterResume(func(time.Duration) { timer.Reset(deadline.Sub(clock.Now())) })
 	return ctx, func() {
 		stop()
 		timer.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,7 +21,7 @@
 	suspended atomic.Int64
 }
 
-func (machine *machine) up() (time.Duration, error) {
+func (machine *machine) uptime() (time.Duration, error) {
 	return time.Since(machine.startedAt) + time.Duration(machine.suspended.Load()), nil
 }
 
@@ -32,7 +32,7 @@
 func newClock(t *testing.T) (*clock.Clock, *machine) {
 	t.Helper()
 	machine := &machine{startedAt: time.Now()}
-	created, err := clock.New(machine.up)
+	created, err := clock.New(machine.uptime)
 	assert.NilError(t, err)
 	return created, machine
 }
--- a/internal/epoch/watch.go
+++ b/internal/epoch/watch.go
@@ -28,7 +28,7 @@
 	// known says that an epoch has been observed.
 	known bool
 	// increasedAt is when the epoch last increased from one that this process had observed; zero means never.
-	rose time.Time
+	increasedAt time.Time
 	// changed is closed and replaced when the epoch increases.
 	changed chan struct{}
 	// hint is the highest epoch passed to Hint, and hinted has an element while it is to be checked at the store.
@@ -42,7 +42,7 @@
 }
 
 // Observe records an epoch that the store or a peer reported. It returns ErrEarlier if the current epoch is later.
-func (watch *Watch) Note(number Number) error {
+func (watch *Watch) Observe(number Number) error {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	switch {
@@ -51,7 +51,7 @@
 	case watch.known && number == watch.current:
 		return nil
 	case watch.known:
-		watch.rose = watch.now()
+		watch.increasedAt = watch.now()
 		watch.hint = 0 // a corrupted hint must not suppress later ones
 		close(watch.changed)
 		watch.changed = make(chan struct{})
@@ -70,10 +70,10 @@
 
 // IncreasedAt returns when the epoch last increased from one that this process had observed, or was marked so by Unsettle.
 // It is zero if that never happened.
-func (watch *Watch) Rose() time.Time {
+func (watch *Watch) IncreasedAt() time.Time {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
-	return watch.rose
+	return watch.increasedAt
 }
 
 // Changed returns a channel that is closed when the epoch increases.
@@ -88,8 +88,8 @@
 func (watch *Watch) Unsettle() {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
-	if watch.rose.IsZero() {
-		watch.rose = watch.now()
+	if watch.increasedAt.IsZero() {
+		watch.increasedAt = watch.now()
 	}
 }
 
--- a/internal/epoch/watch_test.go
+++ b/internal/epoch/watch_test.go
@@ -32,13 +32,13 @@
 			for _, number := range test.observed {
 				now = now.Add(time.Second)
 				changed := watch.Changed()
-				if errors.Is(watch.Note(number), epoch.ErrEarlier) {
+				if errors.Is(watch.Observe(number), epoch.ErrEarlier) {
 					earlier++
 				}
 				select {
 				case <-changed:
 					rises++
-					assert.Equal(t, watch.Rose(), now)
+					assert.Equal(t, watch.IncreasedAt(), now)
 				default:
 				}
 			}
@@ -47,7 +47,7 @@
 			assert.Equal(t, known, len(test.observed) > 0)
 			assert.Equal(t, rises, test.wantRises)
 			assert.Equal(t, earlier, test.wantEarlier)
-			assert.Equal(t, watch.Rose().IsZero(), test.wantRises == 0)
+			assert.Equal(t, watch.IncreasedAt().IsZero(), test.wantRises == 0)
 		})
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	watch.Hint(3)
 	assert.Assert(t, !hinted(), "the first read from the store is pending")
-	assert.NilError(t, watch.Note(1))
+	assert.NilError(t, watch.Observe(1))
 	watch.Hint(1)
 	assert.Assert(t, !hinted())
 	watch.Hint(9)
@@ -76,7 +76,7 @@
 	assert.Assert(t, !hinted(), "one check for one hint")
 	current, _ := watch.Current()
 	assert.Equal(t, current, epoch.Number(1))
-	assert.NilError(t, watch.Note(2))
+	assert.NilError(t, watch.Observe(2))
 	watch.Hint(3)
 	assert.Assert(t, hinted(), "a corrupted hint does not suppress later ones")
 }
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -210,7 +210,7 @@
 			counts := make(map[string]int)
 			for number := 0; number < 36; number += 3 {
 				role := vms.instances[number].Role(6, func(string) bool { return false })
-				counts[role.Ask]++
+				counts[role.ReaderAddress]++
 			}
 			return counts
 		}
@@ -237,7 +237,7 @@
 		never := func(string) bool { return false }
 		rejected := make(map[string]bool)
 		for range 3 {
-			reader := vms.instances[33].Role(6, never).Ask
+			reader := vms.instances[33].Role(6, never).ReaderAddress
 			for number := range vms.instances {
 				if address(number) == reader {
 					vms.sinks[number].setStoreUnavailable(true)
@@ -250,7 +250,7 @@
 		readers := make(map[string]int)
 		for number := 0; number < 36; number += 3 {
 			if !rejected[address(number)] {
-				readers[vms.instances[number].Role(6, never).Ask]++
+				readers[vms.instances[number].Role(6, never).ReaderAddress]++
 			}
 		}
 		assert.Equal(t, len(readers), 2, "the reader's address, and an empty one at the reader itself: %v", readers)
--- a/internal/exchange/discovery_test.go
+++ b/internal/exchange/discovery_test.go
@@ -215,12 +215,12 @@
 	for number, vm := range fleet.vms {
 		assert.DeepEqual(fleet.t, vm.instance.Coordinators(), agreed)
 		role := vm.instance.Role(6, func(string) bool { return false })
-		assert.Assert(fleet.t, !role.Unsettled, "vm-%d", number)
-		if role.Ask == "" {
+		assert.Assert(fleet.t, !role.MembersUnknown, "vm-%d", number)
+		if role.ReaderAddress == "" {
 			readingThemselves++
-			role.Ask = vm.address
+			role.ReaderAddress = vm.address
 		}
-		readers[role.Ask]++
+		readers[role.ReaderAddress]++
 	}
 	assert.Equal(fleet.t, len(readers), largeFleetDataCentres, "%v", readers)
 	assert.Equal(fleet.t, readingThemselves, largeFleetDataCentres)
--- a/internal/exchange/role.go
+++ b/internal/exchange/role.go
@@ -20,7 +20,7 @@
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	if !exchange.joined {
-		return feed.Role{Unsettled: true}
+		return feed.Role{MembersUnknown: true}
 	}
 	candidates := exchange.localPeers()
 	if 1+len(candidates) < minimum {
@@ -40,18 +40,18 @@
 		}
 	}
 	if reader != exchange.self.VM {
-		return feed.Role{Ask: exchange.peers[reader].Address}
+		return feed.Role{ReaderAddress: exchange.peers[reader].Address}
 	}
-	role := feed.Role{Serves: true, Unsettled: unseen}
+	role := feed.Role{IsReader: true, MembersUnknown: unseen}
 	for _, vm := range storeUnavailable {
-		role.Before = append(role.Before, exchange.peers[vm].Address)
+		role.UnavailableReaders = append(role.UnavailableReaders, exchange.peers[vm].Address)
 	}
 	return role
 }
 
-// Others implements feed.Members. It returns the addresses of at limit limit live VMs, those with the longest uptime
+// LivePeers implements feed.Members. It returns the addresses of at limit limit live VMs, those with the longest uptime
 // first, and reports false while this VM has not joined or all of its peers are down.
-func (exchange *Exchange) Others(limit int) ([]string, bool) {
+func (exchange *Exchange) LivePeers(limit int) ([]string, bool) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
 	var live []*peer
--- a/internal/feed/codec.go
+++ b/internal/feed/codec.go
@@ -39,10 +39,10 @@
 
 // errNoContent is returned when a peer answers with status 503 because it has no current content, for example
 // since its source is not responding.
-var errNothing = errors.New("feed: peer has no current content")
+var errNoContent = errors.New("feed: peer has no current content")
 
 // fetch requests one page from a peer. It fails if the page is of an earlier epoch than the current one.
-func (log *Log) get(request *http.Request) (follower.Page, error) {
+func (log *Log) fetch(request *http.Request) (follower.Page, error) {
 	response, err := log.client.Do(request)
 	if err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
@@ -53,7 +53,7 @@
 		return follower.Page{}, errors.Wrap(err, "feed")
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		return follower.Page{}, errNothing
+		return follower.Page{}, errNoContent
 	}
 	if response.StatusCode != http.StatusOK {
 		return follower.Page{}, errors.Newf("feed: peer returned status %d", response.StatusCode)
@@ -63,7 +63,7 @@
 		return follower.Page{}, errors.Wrap(err, "feed")
 	}
 	page := decode(encoded)
-	if err := log.epochs.Note(page.Epoch); err != nil {
+	if err := log.epochs.Observe(page.Epoch); err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
 	}
 	if page.Unsettled {
--- a/internal/feed/epoch_test.go
+++ b/internal/feed/epoch_test.go
@@ -13,7 +13,7 @@
 )
 
 // withEpoch returns page with its epoch set to number.
-func inEpoch(page follower.Page, number epoch.Number) follower.Page {
+func withEpoch(page follower.Page, number epoch.Number) follower.Page {
 	page.Epoch = number
 	return page
 }
@@ -37,12 +37,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				epochs := epoch.New(time.Now)
-				assert.NilError(t, epochs.Note(2))
-				first, second, _, log := readersIn(t, several{addresses: []string{readerAddress, secondAddress}}, epochs)
-				first.Add(inEpoch(content("first"), test.first), time.Now())
-				second.Add(inEpoch(content("second"), test.second), time.Now())
+				assert.NilError(t, epochs.Observe(2))
+				first, second, _, log := startReadersIn(t, peers{addresses: []string{readerAddress, secondAddress}}, epochs)
+				first.Add(withEpoch(newPage("first"), test.first), time.Now())
+				second.Add(withEpoch(newPage("second"), test.second), time.Now())
 				if test.rises > 0 {
-					time.AfterFunc(test.rises, func() { first.Add(inEpoch(content("first"), 2), time.Now()) })
+					time.AfterFunc(test.rises, func() { first.Add(withEpoch(newPage("first"), 2), time.Now()) })
 				}
 				page, err := log.Read(t.Context(), follower.Position{}, 0)
 				assert.NilError(t, err)
@@ -66,8 +66,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				first, _, _, log := readers(t, several{addresses: []string{readerAddress}})
-				page := content("first")
+				first, _, _, log := startReaders(t, peers{addresses: []string{readerAddress}})
+				page := newPage("first")
 				first.Add(page, time.Now())
 				page.Unsettled = test.unsettled
 				time.Sleep(10 * time.Second)
@@ -86,8 +86,8 @@
 func TestOffsetOfAnotherEpochReadsAllValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		epochs := epoch.New(time.Now)
-		first, _, _, log := readersIn(t, several{addresses: []string{readerAddress}}, epochs)
-		first.Add(inEpoch(content("first"), 2), time.Now())
+		first, _, _, log := startReadersIn(t, peers{addresses: []string{readerAddress}}, epochs)
+		first.Add(withEpoch(newPage("first"), 2), time.Now())
 		page, err := log.Read(t.Context(), follower.At(1, 1), 0)
 		assert.NilError(t, err)
 		assert.Assert(t, page.Whole)
@@ -95,4 +95,4 @@
 	})
 }
 
-var _ feed.Members = several{}
+var _ feed.Members = peers{}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -33,7 +33,7 @@
 )
 
 // allKeysOffset is the offset that requests the latest value of every key.
-const everything = -1
+const allKeysOffset = -1
 
 // maxWait bounds the wait that a peer may request.
 const maxWait = 30 * time.Second
@@ -42,14 +42,14 @@
 type Role struct {
 	// ReaderAddress is the address of the reader from which this VM reads. It is
 	// empty if this VM reads the store itself.
-	Ask string
+	ReaderAddress string
 	// IsReader says that peers read from this VM.
-	Serves bool
+	IsReader bool
 	// UnavailableReaders has the addresses of the peers that would be readers for this VM, but to which the store does
 	// not respond.
-	Before []string
+	UnavailableReaders []string
 	// MembersUnknown says that this VM has not discovered the other VMs yet.
-	Unsettled bool
+	MembersUnknown bool
 }
 
 // Members gives access to the VMs known to this one.
@@ -60,7 +60,7 @@
 	Role(minLive int, avoid func(address string) bool) Role
 	// LivePeers returns the addresses of at most limit live VMs of any data centre, those
 	// with the longest uptime first. It reports false while the members are still unknown.
-	Others(limit int) ([]string, bool)
+	LivePeers(limit int) ([]string, bool)
 }
 
 // Log reads a log from a peer, or from the store if there is no reader or the
@@ -70,7 +70,7 @@
 	direct  follower.Log
 	members Members
 	// maxDelay returns the time within which a change must reach this VM.
-	bound    func() time.Duration
+	maxDelay func() time.Duration
 	client   *http.Client
 	settings Settings
 	epochs   *epoch.Watch
@@ -79,15 +79,15 @@
 
 	mu sync.Mutex
 	// avoidedUntil has the time until which a peer is not used as a reader, by address.
-	avoided map[string]time.Time
+	avoidedUntil map[string]time.Time
 	// lastReader is the address of the reader used last, or empty for the store.
-	asked string
+	lastReader string
 	// startedAt is when this Log was created.
-	begun time.Time
+	startedAt time.Time
 	// storeFailedAt is when the last read from the store failed; zero if it succeeded.
-	failed time.Time
+	storeFailedAt time.Time
 	// hasRead says that a page has been received.
-	read bool
+	hasRead bool
 }
 
 var _ follower.Log = (*Log)(nil)
@@ -99,101 +99,101 @@
 	transport http.RoundTripper, settings Settings, epochs *epoch.Watch, logger *slog.Logger, now func() time.Time,
 ) *Log {
 	return &Log{
-		name: name, direct: direct, members: members, bound: maxDelay, client: &http.Client{Transport: transport},
+		name: name, direct: direct, members: members, maxDelay: maxDelay, client: &http.Client{Transport: transport},
 		settings: settings, epochs: epochs, logger: logger, now: now,
-		avoided: make(map[string]time.Time), begun: now(),
+		avoidedUntil: make(map[string]time.Time), startedAt: now(),
 	}
 }
 
 // membersPollInterval is the time between checks whether the members are known.
-const meetTick = 10 * time.Millisecond
+const membersPollInterval = 10 * time.Millisecond
 
 // Read implements follower.Log.
 func (log *Log) Read(ctx context.Context, from follower.Position, wait time.Duration) (follower.Page, error) {
-	log.meet(ctx)
+	log.awaitMembers(ctx)
 	startedAt := log.now()
-	page, role, err := log.readElsewhere(ctx, from)
+	page, role, err := log.readFromReaders(ctx, from)
 	if err == nil {
-		log.noteRead()
+		log.recordRead()
 		return page, nil
 	}
-	if !errors.Is(err, errNobody) {
+	if !errors.Is(err, errNoReader) {
 		wait = 0 // reading from peers took time, so a confirmation is needed at once
 	}
-	if role.Serves {
-		wait = min(wait, log.readerWait())
+	if role.IsReader {
+		wait = min(wait, log.maxReaderWait())
 	}
-	if address := log.awaited(role); address != "" {
-		page, err = log.readThrough(ctx, address, from, log.settings.Wait, "&"+queryAwait)
-		if err == nil || errors.Is(err, errNothing) || ctx.Err() != nil {
+	if address := log.readerToAwait(role); address != "" {
+		page, err = log.readFromPeer(ctx, address, from, log.settings.Wait, "&"+queryAwait)
+		if err == nil || errors.Is(err, errNoContent) || ctx.Err() != nil {
 			return page, err
 		}
 		// A reader that cannot be reached gives no information on the store.
 	}
 	delay := log.now().Sub(startedAt)
 	page, err = log.direct.Read(ctx, from, wait)
-	log.noteDirect(err)
+	log.recordStoreResult(err)
 	if err != nil {
 		return page, err //nolint:wrapcheck // the log adds the context
 	}
 	page.Age -= delay // Age is relative to the start of this call, and the store was read later
-	return log.vouched(ctx, page), nil
+	return log.verifyFirst(ctx, page), nil
 }
 
 // probingReaders is the number of VMs of a data centre that keep calling the store while it is unavailable.
-const fewReaders = 2
+const probingReaders = 2
 
 // readerToAwait returns the address of the reader through which this VM waits for the store
 // to recover. It is empty if this VM calls the store itself.
-func (log *Log) awaited(role Role) string {
+func (log *Log) readerToAwait(role Role) string {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if len(role.Before) < fewReaders || log.failed.IsZero() || log.now().Sub(log.failed) >= log.settings.Probe {
+	if len(role.UnavailableReaders) < probingReaders || log.storeFailedAt.IsZero() || log.now().Sub(log.storeFailedAt) >= log.settings.ProbeInterval {
 		return ""
 	}
-	return role.Before[rand.IntN(fewReaders)] //nolint:gosec // no security depends on it
+	return role.UnavailableReaders[rand.IntN(probingReaders)] //nolint:gosec // no security depends on it
 }
 
 // recordStoreResult records whether the store responded. ErrTrimmed counts as a response: if it counted as a failure,
 // the VM would keep its outdated content while it waits for readers to which the store does not respond.
-func (log *Log) noteDirect(err error) {
+func (log *Log) recordStoreResult(err error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	log.failed = time.Time{}
+	log.storeFailedAt = time.Time{}
 	if err != nil && !errors.Is(err, follower.ErrTrimmed) {
-		log.failed = log.now()
+		log.storeFailedAt = log.now()
 	}
 }
 
 // awaitMembers waits after the start until the members are known, for at most Settings.MembersTimeout.
-func (log *Log) meet(ctx context.Context) {
-	for log.now().Sub(log.begun) < log.settings.Meet && log.role().Unsettled {
-		if !wait.For(ctx, meetTick) {
+func (log *Log) awaitMembers(ctx context.Context) {
+	for log.now().Sub(log.startedAt) < log.settings.MembersTimeout && log.role().MembersUnknown {
+		if !wait.For(ctx, membersPollInterval) {
 			return
 		}
 	}
 }
 
 // errNoReader is returned if no peer is a reader for this VM.
-var errNobody = errors.New("feed: no reader among the peers")
+var errNoReader = errors.New("feed: no reader among the peers")
 
 // readFromReaders tries up to Settings.MaxReaders readers, and returns the role of this VM after the last attempt.
-func (log *Log) readElsewhere(ctx context.Context, from follower.Position) (follower.Page, Role, error) {
+func (log *Log) readFromReaders(ctx context.Context, from follower.Position) (follower.Page, Role, error) {
 	startedAt := log.now()
-	lastErr := errNobody
-	for range log.settings.Tries {
+	lastErr := errNoReader
+	for range log.settings.MaxReaders {
 		role := log.role()
-		log.noteAsked(role.Ask)
-		if role.Ask == "" {
+		log.logReader(role.ReaderAddress)
+		if role.ReaderAddress == "" {
 			return follower.Page{}, role, lastErr
 		}
-		page, err := log.readThrough(ctx, role.Ask, from, log.settings.Wait, "")
+		page, err := log.readFromPeer(ctx, role.ReaderAddress, from, log.settings.Wait, "")
 		if err == nil {
 			return page, role, nil
 		}
-		log.avoid(role.Ask, err)
+		log.avoid(role.ReaderAddress, err)
 		lastErr = err
-		if log.now().Sub(startedAt) > log.settings.Patience {
+		if log.now().Sub(startedAt) > log.settings.ResponseTimeout {
 			break // another attempt would exceed the time within which changes must arrive
 		}
 	}
@@ -202,36 +202,36 @@
 
 // role returns the current role of this VM. A VM reads the store itself if content from peers would be too old for it.
 func (log *Log) role() Role {
-	if log.maxAge() <= leastAge {
+	if log.maxAge() <= minUsefulAge {
 		return Role{}
 	}
-	return log.members.Role(log.settings.MinMembers, log.avoids)
+	return log.members.Role(log.settings.MinMembers, log.isAvoided)
 }
 
 // minUsefulAge is the value that maxAge must exceed for reads from peers to be worthwhile.
-const leastAge = 600 * time.Millisecond
+const minUsefulAge = 600 * time.Millisecond
 
 // maxReaderWait bounds how long a read waits at the store for a change if peers read from this VM.
-func (log *Log) readerWait() time.Duration {
-	return time.Duration(log.settings.ReaderPart * float64(log.maxAge()))
+func (log *Log) maxReaderWait() time.Duration {
+	return time.Duration(log.settings.StoreWaitFraction * float64(log.maxAge()))
 }
 
 // maxAge returns the largest age at which a page of a peer is used: a change that the
 // page lacks then still arrives in time with the next read.
 func (log *Log) maxAge() time.Duration {
-	return log.bound() - log.settings.Margin - log.settings.Wait - log.settings.Patience
+	return log.maxDelay() - log.settings.Margin - log.settings.Wait - log.settings.ResponseTimeout
 }
 
 // readFromPeer reads a page from a peer. extraQuery is appended to the query string.
-func (log *Log) readThrough(ctx context.Context, address string, from follower.Position, wait time.Duration, extraQuery string) (follower.Page, error) {
-	bounded, cancel := context.WithTimeout(ctx, wait+log.settings.Patience)
+func (log *Log) readFromPeer(ctx context.Context, address string, from follower.Position, wait time.Duration, extraQuery string) (follower.Page, error) {
+	bounded, cancel := context.WithTimeout(ctx, wait+log.settings.ResponseTimeout)
 	defer cancel()
 	if current, known := log.epochs.Current(); known && current != from.Epoch {
 		from = follower.Position{Epoch: current} // the offset has no meaning in the current epoch
 	}
 	offset, hasOffset := from.Offset()
 	if !hasOffset {
-		offset = everything
+		offset = allKeysOffset
 	}
 	target := "http://" + address + path + "?" + queryLog + "=" + log.name +
 		"&" + queryOffset + "=" + strconv.FormatInt(offset, 10) +
@@ -241,7 +241,7 @@
 	if err != nil {
 		return follower.Page{}, errors.Wrap(err, "feed")
 	}
-	page, err := log.get(request)
+	page, err := log.fetch(request)
 	if err != nil {
 		return follower.Page{}, err
 	}
@@ -252,10 +252,10 @@
 }
 
 // isAvoided reports whether a peer failed recently, so that it is not used as a reader.
-func (log *Log) avoids(address string) bool {
+func (log *Log) isAvoided(address string) bool {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	return log.now().Before(log.avoided[address])
+	return log.now().Before(log.avoidedUntil[address])
 }
 
 // avoid excludes a peer from the choice of readers for a time that depends on err.
@@ -263,20 +263,20 @@
 	log.logger.Info("could not read log from peer", "log", log.name, "address", address, "error", err)
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	time := log.settings.Avoid
-	if errors.Is(err, errNothing) {
-		time = log.settings.AvoidLost
+	time := log.settings.AvoidTime
+	if errors.Is(err, errNoContent) {
+		time = log.settings.AvoidTimeNoContent
 	}
-	log.avoided[address] = log.now().Add(time)
+	log.avoidedUntil[address] = log.now().Add(time)
 }
 
 // logReader logs a change of the reader from which this VM reads.
-func (log *Log) noteAsked(address string) {
+func (log *Log) logReader(address string) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if address == log.asked {
+	if address == log.lastReader {
 		return
 	}
-	log.asked = address
+	log.lastReader = address
 	log.logger.Info("log reader changed", "log", log.name, "address", address, "directly", address == "")
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,12 +21,12 @@
 
 const readerAddress = "10.0.0.1:7340"
 
-var errAway = errors.New("store is unavailable")
+var errUnavailable = errors.New("store is unavailable")
 
 // store is a log that responds at once unless it is unavailable, and records its calls.
 type store struct {
-	mu   sync.Mutex
-	away bool
+	mu          sync.Mutex
+	unavailable bool
 	// trimmed says that the changes have been removed, so that only a read of all values succeeds.
 	trimmed bool
 	calls   int
@@ -44,8 +44,8 @@
 	defer store.mu.Unlock()
 	store.calls++
 	store.waits = append(store.waits, wait)
-	if store.away {
-		return follower.Page{}, errAway
+	if store.unavailable {
+		return follower.Page{}, errUnavailable
 	}
 	if _, hasOffset := from.Offset(); hasOffset && store.trimmed {
 		return follower.Page{}, follower.ErrTrimmed
@@ -61,13 +61,13 @@
 var _ feed.Members = members{}
 
 func (members members) Role(_ int, avoid func(string) bool) feed.Role {
-	if avoid(members.role.Ask) {
+	if avoid(members.role.ReaderAddress) {
 		return feed.Role{}
 	}
 	return members.role
 }
 
-func (members) Others(int) ([]string, bool) { return nil, true }
+func (members) LivePeers(int) ([]string, bool) { return nil, true }
 
 func TestRead(t *testing.T) {
 	tests := map[string]struct {
@@ -84,31 +84,31 @@
 		wantAtOnce bool
 	}{
 		"from a reader": {
-			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, want: "through",
+			role: feed.Role{ReaderAddress: readerAddress}, maxDelay: 3 * time.Second, want: "through",
 		},
 		"from the store without a reader": {
 			maxDelay: 3 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
 		"from the store with a short wait as a reader": {
-			role: feed.Role{Serves: true}, maxDelay: 3 * time.Second, want: "direct", wantWait: 602 * time.Millisecond,
+			role: feed.Role{IsReader: true}, maxDelay: 3 * time.Second, want: "direct", wantWait: 602 * time.Millisecond,
 		},
 		"from the store with a longer wait as a reader with a larger delay": {
-			role: feed.Role{Serves: true}, maxDelay: 5 * time.Second, want: "direct", wantWait: 1462 * time.Millisecond,
+			role: feed.Role{IsReader: true}, maxDelay: 5 * time.Second, want: "direct", wantWait: 1462 * time.Millisecond,
 		},
 		// A reader to which the store did not respond kept its peers at an old configuration.
 		"from the store if the reader's content is too old": {
-			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, age: 1500 * time.Millisecond,
+			role: feed.Role{ReaderAddress: readerAddress}, maxDelay: 3 * time.Second, age: 1500 * time.Millisecond,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 		"from the store if the delay leaves no time for readers": {
-			role: feed.Role{Ask: readerAddress}, maxDelay: 2 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
+			role: feed.Role{ReaderAddress: readerAddress}, maxDelay: 2 * time.Second, want: "direct", wantWait: 1500 * time.Millisecond,
 		},
 		"from the store if the reader is unreachable": {
-			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, unreachable: true,
+			role: feed.Role{ReaderAddress: readerAddress}, maxDelay: 3 * time.Second, unreachable: true,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 		"from the store if the reader has no content": {
-			role: feed.Role{Ask: readerAddress}, maxDelay: 3 * time.Second, age: -1,
+			role: feed.Role{ReaderAddress: readerAddress}, maxDelay: 3 * time.Second, age: -1,
 			want: "direct", wantWait: 1500 * time.Millisecond, wantAtOnce: true,
 		},
 	}
--- a/internal/feed/handler.go
+++ b/internal/feed/handler.go
@@ -18,7 +18,7 @@
 // current one is passed to epochs as a hint.
 func Handler(tails map[string]*follower.Tail, epochs *epoch.Watch, logger *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
-	large := make(chan struct{}, largeAtOnce)
+	large := make(chan struct{}, maxConcurrentLargePages)
 	mux.HandleFunc("GET "+path, func(writer http.ResponseWriter, request *http.Request) {
 		query := request.URL.Query()
 		tail := tails[query.Get(queryLog)]
@@ -36,7 +36,7 @@
 		}
 		from := follower.Position{Epoch: epoch.Number(number)}
 		epochs.Hint(from.Epoch)
-		if offset != everything {
+		if offset != allKeysOffset {
 			from = follower.At(from.Epoch, offset)
 		}
 		page, err := read(request.Context(), from, wait)
@@ -44,7 +44,7 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if size(page) >= compressFrom {
+		if size(page) >= minCompressedBytes {
 			select {
 			case large <- struct{}{}:
 			case <-request.Context().Done():
@@ -65,11 +65,11 @@
 
 // minCompressedBytes is the size from which a page is compressed. Uncompressed, a configuration of
 // about 180 KB for 60 VMs that start together occupies a link of 200 Mbit/s for 0.43 s.
-const compressFrom = 4 << 10
+const minCompressedBytes = 4 << 10
 
 // maxConcurrentLargePages bounds how many large pages are encoded and written at the same time. If all VMs of a data
 // centre start together, each requests a page of some 100 KB, and encoding takes several times that in memory.
-const largeAtOnce = 16
+const maxConcurrentLargePages = 16
 
 // size returns the total size of the values of a page in bytes.
 func size(page follower.Page) int {
@@ -82,7 +82,7 @@
 
 // write writes an encoded page, compressed if it is large and the client accepts gzip.
 func write(writer http.ResponseWriter, request *http.Request, data []byte) {
-	if len(data) < compressFrom || !strings.Contains(request.Header.Get("Accept-Encoding"), "gzip") {
+	if len(data) < minCompressedBytes || !strings.Contains(request.Header.Get("Accept-Encoding"), "gzip") {
 		_, _ = writer.Write(data) // the client may have disconnected
 		return
 	}
--- a/internal/feed/readers_test.go
+++ b/internal/feed/readers_test.go
@@ -21,39 +21,39 @@
 
 // peers is a membership whose reader is the first address that is not avoided. The members are unknown before
 // knownFrom.
-type several struct {
+type peers struct {
 	addresses []string
-	known     time.Time
+	knownFrom time.Time
 }
 
-func (peers several) Role(_ int, avoid func(string) bool) feed.Role {
-	if time.Now().Before(peers.known) {
-		return feed.Role{Unsettled: true}
+func (peers peers) Role(_ int, avoid func(string) bool) feed.Role {
+	if time.Now().Before(peers.knownFrom) {
+		return feed.Role{MembersUnknown: true}
 	}
 	for _, address := range peers.addresses {
 		if !avoid(address) {
-			return feed.Role{Ask: address}
+			return feed.Role{ReaderAddress: address}
 		}
 	}
-	return feed.Role{Serves: true}
+	return feed.Role{IsReader: true}
 }
 
 // LivePeers returns the addresses once the members are known.
-func (peers several) Others(limit int) ([]string, bool) {
-	if time.Now().Before(peers.known) {
+func (peers peers) LivePeers(limit int) ([]string, bool) {
+	if time.Now().Before(peers.knownFrom) {
 		return nil, false
 	}
 	return peers.addresses[:min(limit, len(peers.addresses))], true
 }
 
 // startReaders starts two readers and returns their tails, the store, and a log that reads from them.
-func readers(t *testing.T, members feed.Members) (first, second *follower.Tail, store *store, log *feed.Log) {
+func startReaders(t *testing.T, members feed.Members) (first, second *follower.Tail, store *store, log *feed.Log) {
 	t.Helper()
-	return readersIn(t, members, epoch.New(time.Now))
+	return startReadersIn(t, members, epoch.New(time.Now))
 }
 
 // startReadersIn is like startReaders, with the epochs of the log given.
-func readersIn(
+func startReadersIn(
 	t *testing.T, members feed.Members, epochs *epoch.Watch,
 ) (first, second *follower.Tail, store *store, log *feed.Log) {
 	t.Helper()
@@ -76,7 +76,7 @@
 	return first, second, store, log
 }
 
-func content(key string) follower.Page {
+func newPage(key string) follower.Page {
 	return follower.Page{Next: 1, Whole: true, Records: []follower.Record{{Key: key, Value: []byte("1")}}}
 }
 
@@ -84,9 +84,9 @@
 // used. When each VM called the store instead, sixty VMs behind one reader made 200 calls a second.
 func TestNextReaderIsUsedIfTheStoreDoesNotRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, store, log := readers(t, several{addresses: []string{readerAddress, secondAddress}})
-		first.Add(content("first"), time.Now())
-		second.Add(content("second"), time.Now())
+		first, second, store, log := startReaders(t, peers{addresses: []string{readerAddress, secondAddress}})
+		first.Add(newPage("first"), time.Now())
+		second.Add(newPage("second"), time.Now())
 		read := func(want string) {
 			t.Helper()
 			started := time.Now()
@@ -96,14 +96,14 @@
 			assert.Assert(t, time.Since(started) < 10*time.Millisecond)
 		}
 		read("first")
-		first.Lose()
+		first.MarkLost()
 		read("second")
 		read("second")
-		first.Add(content("first"), time.Now())
+		first.Add(newPage("first"), time.Now())
 		time.Sleep(1100 * time.Millisecond)
 		read("first")
-		first.Lose()
-		second.Lose()
+		first.MarkLost()
+		second.MarkLost()
 		assert.Equal(t, store.calls, 0)
 		read("direct")
 	})
@@ -113,10 +113,10 @@
 // it: the read must end at once, and the next one go to another reader.
 func TestWaitingReadEndsWhenTheReaderLosesItsSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, _, log := readers(t, several{addresses: []string{readerAddress, secondAddress}})
-		first.Add(content("first"), time.Now())
-		second.Add(content("second"), time.Now())
-		time.AfterFunc(100*time.Millisecond, first.Lose)
+		first, second, _, log := startReaders(t, peers{addresses: []string{readerAddress, secondAddress}})
+		first.Add(newPage("first"), time.Now())
+		second.Add(newPage("second"), time.Now())
+		time.AfterFunc(100*time.Millisecond, first.MarkLost)
 		started := time.Now()
 		_, err := log.Read(t.Context(), follower.At(0, 1), time.Second)
 		assert.NilError(t, err)
@@ -132,8 +132,8 @@
 func TestStartReadsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		knownFrom := time.Now().Add(20 * time.Millisecond)
-		first, _, store, log := readers(t, several{addresses: []string{readerAddress}, known: knownFrom})
-		time.AfterFunc(30*time.Millisecond, func() { first.Add(content("first"), time.Now()) })
+		first, _, store, log := startReaders(t, peers{addresses: []string{readerAddress}, knownFrom: knownFrom})
+		time.AfterFunc(30*time.Millisecond, func() { first.Add(newPage("first"), time.Now()) })
 		page, err := log.Read(t.Context(), follower.Position{}, time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, page.Records[0].Key, "first")
@@ -144,7 +144,7 @@
 // TestStartAloneReadsTheStore has a VM that never discovers a peer: it must read the store after one bounded wait.
 func TestStartAloneReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, _, store, log := readers(t, several{known: time.Now().Add(time.Hour)})
+		_, _, store, log := startReaders(t, peers{knownFrom: time.Now().Add(time.Hour)})
 		started := time.Now()
 		_, err := log.Read(t.Context(), follower.Position{}, time.Second)
 		assert.NilError(t, err)
@@ -158,12 +158,12 @@
 }
 
 // failedReaders is the membership of a VM to whose readers the store does not respond.
-type turnedAway struct{}
+type failedReaders struct{}
 
-func (turnedAway) Others(int) ([]string, bool) { return nil, true }
+func (failedReaders) LivePeers(int) ([]string, bool) { return nil, true }
 
-func (turnedAway) Role(int, func(string) bool) feed.Role {
-	return feed.Role{Serves: true, Before: []string{readerAddress, secondAddress}}
+func (failedReaders) Role(int, func(string) bool) feed.Role {
+	return feed.Role{IsReader: true, UnavailableReaders: []string{readerAddress, secondAddress}}
 }
 
 // TestUnavailableStoreIsCalledByFewVMs has the store unavailable for 8 s: a VM that is preceded by two readers must call
@@ -171,16 +171,16 @@
 // calling the store, this made 7,000 calls.
 func TestUnavailableStoreIsCalledByFewVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, store, log := readers(t, turnedAway{})
-		first.Add(content("first"), time.Now())
-		first.Lose()
-		second.Add(content("second"), time.Now())
-		second.Lose()
-		store.away = true
+		first, second, store, log := startReaders(t, failedReaders{})
+		first.Add(newPage("first"), time.Now())
+		first.MarkLost()
+		second.Add(newPage("second"), time.Now())
+		second.MarkLost()
+		store.unavailable = true
 		recovery := time.Now().Add(8 * time.Second)
 		time.AfterFunc(8*time.Second, func() {
-			first.Add(content("first"), time.Now())
-			second.Add(content("second"), time.Now())
+			first.Add(newPage("first"), time.Now())
+			second.Add(newPage("second"), time.Now())
 		})
 		for time.Now().Before(recovery) {
 			_, err := log.Read(t.Context(), follower.Position{}, time.Second)
@@ -200,11 +200,11 @@
 // waited 1.2 s or more for the readers, with a configuration that was 5.5 s old.
 func TestTrimmedStoreCountsAsAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, store, log := readers(t, turnedAway{})
-		first.Add(content("first"), time.Now())
-		first.Lose()
-		second.Add(content("second"), time.Now())
-		second.Lose()
+		first, second, store, log := startReaders(t, failedReaders{})
+		first.Add(newPage("first"), time.Now())
+		first.MarkLost()
+		second.Add(newPage("second"), time.Now())
+		second.MarkLost()
 		store.trimmed = true
 		_, err := log.Read(t.Context(), follower.At(0, 1), 0)
 		assert.ErrorIs(t, err, follower.ErrTrimmed)
@@ -218,23 +218,23 @@
 
 // unreachableReaders is the membership of a VM whose readers last reported that the store does not respond, and that
 // are unreachable now.
-type cutOff struct{}
+type unreachableReaders struct{}
 
-func (cutOff) Others(int) ([]string, bool) { return nil, true }
+func (unreachableReaders) LivePeers(int) ([]string, bool) { return nil, true }
 
-func (cutOff) Role(int, func(string) bool) feed.Role {
-	return feed.Role{Serves: true, Before: []string{"10.0.0.8:7340", "10.0.0.9:7340"}}
+func (unreachableReaders) Role(int, func(string) bool) feed.Role {
+	return feed.Role{IsReader: true, UnavailableReaders: []string{"10.0.0.8:7340", "10.0.0.9:7340"}}
 }
 
 // TestUnreachableReadersDoNotDelayTheStore has a VM to which the store failed to respond once, and whose readers are
 // unreachable: it must call the store again at once. When it waited for the readers, it called the store only every 3 s.
 func TestUnreachableReadersDoNotDelayTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, _, store, log := readers(t, cutOff{})
-		store.away = true
+		_, _, store, log := startReaders(t, unreachableReaders{})
+		store.unavailable = true
 		_, err := log.Read(t.Context(), follower.Position{}, 0)
-		assert.ErrorIs(t, err, errAway)
-		store.away = false
+		assert.ErrorIs(t, err, errUnavailable)
+		store.unavailable = false
 		started := time.Now()
 		page, err := log.Read(t.Context(), follower.Position{}, 0)
 		assert.NilError(t, err)
--- a/internal/follower/bounded.go
+++ b/internal/follower/bounded.go
@@ -9,8 +9,8 @@
 // several parts, the time limit applies to each part, so that reading a large
 // amount of content from a slow source is not aborted and restarted.
 type Bounded struct {
-	log      Log
-	patience time.Duration
+	log     Log
+	timeout time.Duration
 }
 
 var _ Log = Bounded{}
@@ -18,16 +18,16 @@
 // NewBounded returns a log whose responses, and parts of responses, may take
 // timeout in addition to the requested wait.
 func NewBounded(log Log, timeout time.Duration) Bounded {
-	return Bounded{log: log, patience: timeout}
+	return Bounded{log: log, timeout: timeout}
 }
 
 // Read implements Log.
 func (bounded Bounded) Read(ctx context.Context, from Position, wait time.Duration) (Page, error) {
 	limited, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(wait+bounded.patience, func() { cancel(context.DeadlineExceeded) })
+	timer := time.AfterFunc(wait+bounded.timeout, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
-	extend := func() { timer.Reset(bounded.patience) }
+	extend := func() { timer.Reset(bounded.timeout) }
 	return bounded.log.Read(context.WithValue(limited, partKey{}, extend), from, wait) //nolint:wrapcheck // the log adds the context
 }
 
@@ -36,7 +36,7 @@
 
 // PartReceived restarts the time limit of a read through Bounded, after a part of
 // the response was received. Without such a limit in ctx it does nothing.
-func PartRead(ctx context.Context) {
+func PartReceived(ctx context.Context) {
 	if extend, ok := ctx.Value(partKey{}).(func()); ok {
 		extend()
 	}
--- a/internal/follower/bounded_test.go
+++ b/internal/follower/bounded_test.go
@@ -25,7 +25,7 @@
 	for range parts.count {
 		select {
 		case <-time.After(parts.each):
-			follower.PartRead(ctx)
+			follower.PartReceived(ctx)
 		case <-ctx.Done():
 			return follower.Page{}, errors.WithStack(context.Cause(ctx))
 		}
--- a/internal/follower/contents.go
+++ b/internal/follower/contents.go
@@ -7,46 +7,46 @@
 
 // contents has the current values of a source. It merges what is read into them and keeps a value that is newer than
 // the one read.
-type base[T any] struct {
+type contents[T any] struct {
 	// newer reports whether a is newer than b.
 	newer func(a, b T) bool
 	// values has the current values by key.
-	values map[string]held[T]
+	values map[string]entry[T]
 	// dropped has recently dropped values by key.
-	dropped map[string]held[T]
+	dropped map[string]entry[T]
 	// outdated has the keys for which the source returned an older value than the current one.
-	behind map[string]bool
+	outdated map[string]bool
 }
 
 // entry is a value as it was read.
-type held[T any] struct {
+type entry[T any] struct {
 	record Record
 	change Change[T]
 	// droppedAt is when the value was dropped; zero for a current value.
-	at time.Time
+	droppedAt time.Time
 }
 
 // droppedRetention is how long a dropped value is kept, in order to tell it from a new value when the source returns it
 // after a rollback. Copies from which the source is restored are some seconds old; a minute covers them.
-const droppedTime = time.Minute
+const droppedRetention = time.Minute
 
-func newBase[T any](newer func(a, b T) bool) *base[T] {
+func newContents[T any](newer func(a, b T) bool) *contents[T] {
 	if newer == nil {
 		newer = func(T, T) bool { return false }
 	}
-	return &base[T]{
-		newer: newer, values: make(map[string]held[T]), dropped: make(map[string]held[T]), behind: make(map[string]bool),
+	return &contents[T]{
+		newer: newer, values: make(map[string]entry[T]), dropped: make(map[string]entry[T]), outdated: make(map[string]bool),
 	}
 }
 
 // isNewer reports whether both entries have a value and that of a is newer.
-func (contents *base[T]) isNewer(a, b held[T]) bool {
+func (contents *contents[T]) isNewer(a, b entry[T]) bool {
 	return a.change.Value != nil && b.change.Value != nil && contents.newer(*a.change.Value, *b.change.Value)
 }
 
 // change merges changes into the current values, and returns those that were applied.
-func (contents *base[T]) change(read []held[T], now time.Time) []held[T] {
-	applied := make([]held[T], 0, len(read))
+func (contents *contents[T]) change(read []entry[T], now time.Time) []entry[T] {
+	applied := make([]entry[T], 0, len(read))
 	for _, next := range read {
 		key := next.record.Key
 		current, found := contents.values[key]
@@ -54,10 +54,10 @@
 		case len(next.record.Value) == 0:
 			contents.drop(key, now)
 		case found && contents.isNewer(current, next):
-			contents.behind[key] = true
+			contents.outdated[key] = true
 			continue
 		default:
-			contents.take(next)
+			contents.put(next)
 		}
 		applied = append(applied, next)
 	}
@@ -66,9 +66,9 @@
 
 // replace replaces the current values by those read, and returns the resulting values. While the source is unsettled,
 // a value that is missing from those read is kept, and a dropped value that reappears is ignored unless it is newer.
-func (contents *base[T]) replace(read []held[T], unsettled bool, now time.Time) []held[T] {
-	maps.DeleteFunc(contents.dropped, func(_ string, previous held[T]) bool { return now.Sub(previous.at) > droppedTime })
-	merged := make([]held[T], 0, len(read))
+func (contents *contents[T]) replace(read []entry[T], unsettled bool, now time.Time) []entry[T] {
+	maps.DeleteFunc(contents.dropped, func(_ string, previous entry[T]) bool { return now.Sub(previous.droppedAt) > droppedRetention })
+	merged := make([]entry[T], 0, len(read))
 	present := make(map[string]bool, len(read))
 	for _, next := range read {
 		key := next.record.Key
@@ -78,10 +78,10 @@
 		case unsettled && wasDropped && !contents.isNewer(next, previous):
 			continue
 		case found && contents.isNewer(current, next):
-			contents.behind[key] = true
+			contents.outdated[key] = true
 			next = current
 		default:
-			contents.take(next)
+			contents.put(next)
 		}
 		present[key] = true
 		merged = append(merged, next)
@@ -98,20 +98,20 @@
 	return merged
 }
 
-func (contents *base[T]) take(next held[T]) {
+func (contents *contents[T]) put(next entry[T]) {
 	key := next.record.Key
 	contents.values[key] = next
 	delete(contents.dropped, key)
-	delete(contents.behind, key)
+	delete(contents.outdated, key)
 }
 
-func (contents *base[T]) drop(key string, now time.Time) {
+func (contents *contents[T]) drop(key string, now time.Time) {
 	current, found := contents.values[key]
 	if !found {
 		return
 	}
-	current.at = now
+	current.droppedAt = now
 	contents.dropped[key] = current
 	delete(contents.values, key)
-	delete(contents.behind, key)
+	delete(contents.outdated, key)
 }
--- a/internal/follower/contents_internal_test.go
+++ b/internal/follower/contents_internal_test.go
@@ -21,8 +21,8 @@
 }
 
 // numbered returns an entry for key with number as its value. A higher number is newer; zero drops the key.
-func numbered(key string, number int) held[int] {
-	next := held[int]{record: Record{Key: key}, change: Change[int]{Key: key}}
+func numbered(key string, number int) entry[int] {
+	next := entry[int]{record: Record{Key: key}, change: Change[int]{Key: key}}
 	if number > 0 {
 		next.record.Value = []byte{byte(number)}
 		next.change.Value = &number
@@ -30,12 +30,12 @@
 	return next
 }
 
-func newNumbered() *base[int] {
-	return newBase(func(a, b int) bool { return a > b })
+func newNumberedContents() *contents[int] {
+	return newContents(func(a, b int) bool { return a > b })
 }
 
 // numbersByKey returns the values of entries by key, with zero for a dropped key.
-func shown(entries []held[int]) map[string]int {
+func numbersByKey(entries []entry[int]) map[string]int {
 	numbers := make(map[string]int)
 	for _, entry := range entries {
 		numbers[entry.record.Key] = 0
@@ -51,33 +51,33 @@
 	for name, test := range map[string]struct {
 		// dropped is a key that is dropped before the read, or empty.
 		dropped   string
-		read      []held[int]
+		read      []entry[int]
 		unsettled bool
 		want      map[string]int
 		outdated  int
 	}{
-		"newer values": {read: []held[int]{numbered("a", 3), numbered("b", 3)}, want: map[string]int{"a": 3, "b": 3}},
+		"newer values": {read: []entry[int]{numbered("a", 3), numbered("b", 3)}, want: map[string]int{"a": 3, "b": 3}},
 		"an older value": {
-			read: []held[int]{numbered("a", 1), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}, outdated: 1,
+			read: []entry[int]{numbered("a", 1), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}, outdated: 1,
 		},
-		"a missing key":                         {read: []held[int]{numbered("a", 2)}, want: map[string]int{"a": 2}},
-		"a missing key, unsettled":              {read: []held[int]{numbered("a", 2)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}},
-		"an older value, unsettled":             {read: []held[int]{numbered("a", 1)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}, outdated: 1},
+		"a missing key":                         {read: []entry[int]{numbered("a", 2)}, want: map[string]int{"a": 2}},
+		"a missing key, unsettled":              {read: []entry[int]{numbered("a", 2)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}},
+		"an older value, unsettled":             {read: []entry[int]{numbered("a", 1)}, unsettled: true, want: map[string]int{"a": 2, "b": 2}, outdated: 1},
 		"no values, unsettled":                  {unsettled: true, want: map[string]int{"a": 2, "b": 2}},
-		"a dropped value":                       {dropped: "b", read: []held[int]{numbered("a", 2), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}},
-		"a dropped value, unsettled":            {dropped: "b", read: []held[int]{numbered("a", 2), numbered("b", 2)}, unsettled: true, want: map[string]int{"a": 2}},
-		"newer than the dropped one, unsettled": {dropped: "b", read: []held[int]{numbered("a", 2), numbered("b", 3)}, unsettled: true, want: map[string]int{"a": 2, "b": 3}},
+		"a dropped value":                       {dropped: "b", read: []entry[int]{numbered("a", 2), numbered("b", 2)}, want: map[string]int{"a": 2, "b": 2}},
+		"a dropped value, unsettled":            {dropped: "b", read: []entry[int]{numbered("a", 2), numbered("b", 2)}, unsettled: true, want: map[string]int{"a": 2}},
+		"newer than the dropped one, unsettled": {dropped: "b", read: []entry[int]{numbered("a", 2), numbered("b", 3)}, unsettled: true, want: map[string]int{"a": 2, "b": 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			contents := newNumbered()
-			contents.replace([]held[int]{numbered("a", 2), numbered("b", 2)}, false, now)
+			contents := newNumberedContents()
+			contents.replace([]entry[int]{numbered("a", 2), numbered("b", 2)}, false, now)
 			if test.dropped != "" {
-				contents.change([]held[int]{numbered(test.dropped, 0)}, now)
+				contents.change([]entry[int]{numbered(test.dropped, 0)}, now)
 			}
 			got := contents.replace(test.read, test.unsettled, now)
-			assert.DeepEqual(t, shown(got), test.want)
-			assert.Equal(t, len(contents.behind), test.outdated)
+			assert.DeepEqual(t, numbersByKey(got), test.want)
+			assert.Equal(t, len(contents.outdated), test.outdated)
 		})
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 // drawNumbers draws numbers for some keys. Zero, which drops a key, is drawn for changes only.
-func drawRead(t *rapid.T, whole bool) map[string]int {
+func drawNumbers(t *rapid.T, whole bool) map[string]int {
 	minimum := 0
 	if whole {
 		minimum = 1
@@ -130,12 +130,12 @@
 func TestContentsMatchOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		contents := newNumbered()
+		contents := newNumberedContents()
 		oracle := &oracle{expected: make(map[string]int), dropped: make(map[string]int)}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			whole, unsettled := rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "unsettled")
-			read := drawRead(t, whole)
-			var list []held[int]
+			read := drawNumbers(t, whole)
+			var list []entry[int]
 			for key, number := range read {
 				list = append(list, numbered(key, number))
 			}
@@ -146,7 +146,7 @@
 			}
 			oracle.read(read, whole, unsettled)
 			values := slices.Collect(maps.Values(contents.values))
-			assert.DeepEqual(t, shown(values), oracle.expected)
+			assert.DeepEqual(t, numbersByKey(values), oracle.expected)
 		}
 	})
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -24,17 +24,17 @@
 	now      func() time.Time
 	epochs   *epoch.Watch
 	tail     *Tail
-	base     *base[T]
+	contents *contents[T]
 
 	// confirmedAt is the start of the last read that confirmed the values as
 	// current. It is nil before the first confirmation, and never decreases.
-	proven atomic.Pointer[time.Time]
+	confirmedAt atomic.Pointer[time.Time]
 	// invalid counts the values that could not be decoded.
-	bad atomic.Int64
+	invalid atomic.Int64
 	// cancelRound ends the current read or pause.
-	giveUp atomic.Pointer[context.CancelCauseFunc]
+	cancelRound atomic.Pointer[context.CancelCauseFunc]
 	// confirmed is closed on the first confirmation.
-	first chan struct{}
+	confirmed chan struct{}
 }
 
 // New returns a follower of source that passes changes to listener. It reads nothing before Run.
@@ -44,14 +44,14 @@
 ) *Follower[T] {
 	return &Follower[T]{
 		source: source, listener: listener, settings: settings, epochs: epochs, logger: logger, now: now,
-		tail: NewTail(now), base: newBase(source.Newer), first: make(chan struct{}),
+		tail: NewTail(now), contents: newContents(source.Newer), confirmed: make(chan struct{}),
 	}
 }
 
 // Age returns the time since the values were last confirmed to be current. It
 // reports false before the first confirmation.
 func (follower *Follower[T]) Age() (time.Duration, bool) {
-	confirmedAt := follower.proven.Load()
+	confirmedAt := follower.confirmedAt.Load()
 	if confirmedAt == nil {
 		return 0, false
 	}
@@ -60,20 +60,20 @@
 
 // Confirmed returns a channel that is closed on the first confirmation. The listener has received the values before:
 // otherwise the confirmation would cover values that the listener does not have yet.
-func (follower *Follower[T]) Proven() <-chan struct{} {
-	return follower.first
+func (follower *Follower[T]) Confirmed() <-chan struct{} {
+	return follower.confirmed
 }
 
 // InvalidCount returns how many values could not be decoded so far.
-func (follower *Follower[T]) Bad() int64 {
-	return follower.bad.Load()
+func (follower *Follower[T]) InvalidCount() int64 {
+	return follower.invalid.Load()
 }
 
 // Refresh ends the current read or pause and reads again at once. It is for the time after a suspension of the machine:
 // a response to the earlier read confirms only old values, and timers did not run during the suspension.
-func (follower *Follower[T]) Renew() {
-	if cancelRound := follower.giveUp.Load(); cancelRound != nil {
-		(*cancelRound)(errRenewed)
+func (follower *Follower[T]) Refresh() {
+	if cancelRound := follower.cancelRound.Load(); cancelRound != nil {
+		(*cancelRound)(errRefreshed)
 	}
 }
 
@@ -83,16 +83,16 @@
 }
 
 // errRefreshed is the cause with which Refresh cancels a round.
-var errRenewed = errors.New("read restarted by Refresh")
+var errRefreshed = errors.New("read restarted by Refresh")
 
 // Run follows the source until ctx is done. It must be called once.
 func (follower *Follower[T]) Run(ctx context.Context) {
-	current := progress{pause: follower.settings.RetryMin}
+	current := progress{backoff: follower.settings.RetryMin}
 	for ctx.Err() == nil {
 		round, cancelRound := context.WithCancelCause(ctx)
-		follower.giveUp.Store(&cancelRound)
+		follower.cancelRound.Store(&cancelRound)
 		current = follower.round(round, current)
-		current.hurry = errors.Is(context.Cause(round), errRenewed)
+		current.immediate = errors.Is(context.Cause(round), errRefreshed)
 		cancelRound(nil)
 	}
 }
@@ -101,11 +101,11 @@
 type progress struct {
 	position Position
 	// backoff is the pause after the next failure.
-	pause time.Duration
+	backoff time.Duration
 	// lost says that the last read from the source failed.
 	lost bool
 	// immediate says that the next read must not wait for a change, since a confirmation is needed at once.
-	hurry bool
+	immediate bool
 	// unsettled says that the last page was unsettled, so that all values are to be read again once the source has
 	// settled.
 	unsettled bool
@@ -114,22 +114,22 @@
 // round reads once, pauses until the next read may start, and returns the new progress.
 func (follower *Follower[T]) round(ctx context.Context, current progress) progress {
 	waiting := follower.settings.Wait
-	if current.lost || current.hurry {
+	if current.lost || current.immediate {
 		waiting = 0 // a response without changes confirms the values; waiting for a change would delay it
 	}
 	if current.unsettled {
 		current, waiting = follower.settle(current, waiting)
 	}
 	startedAt := follower.now()
-	next, unsettled, err := follower.ask(ctx, current.position, waiting)
+	next, unsettled, err := follower.read(ctx, current.position, waiting)
 	switch {
 	case err == nil:
 		if current.lost {
 			follower.logger.Info("source is responding again", "source", follower.source.Name, "position", next)
 			follower.listener.Regained()
 		}
-		wait.For(ctx, follower.settings.Pause-follower.now().Sub(startedAt))
-		return progress{position: next, pause: follower.settings.RetryMin, unsettled: unsettled}
+		wait.For(ctx, follower.settings.MinInterval-follower.now().Sub(startedAt))
+		return progress{position: next, backoff: follower.settings.RetryMin, unsettled: unsettled}
 	case ctx.Err() != nil:
 		return current
 	case errors.Is(err, ErrTrimmed) && current.position != (Position{}):
@@ -142,29 +142,29 @@
 		current.lost = true
 		follower.logger.Warn("source is not responding", "source", follower.source.Name, "position", current.position, "error", err)
 		follower.listener.Lost()
-		follower.tail.Lose()
+		follower.tail.MarkLost()
 	}
-	wait.For(ctx, current.pause)
-	current.pause = min(2*current.pause, follower.settings.RetryMax)
+	wait.For(ctx, current.backoff)
+	current.backoff = min(2*current.backoff, follower.settings.RetryMax)
 	return current
 }
 
 // minSettleWait is the smallest limit on the wait of a read while the source is unsettled.
-const settleTick = 100 * time.Millisecond
+const minSettleWait = 100 * time.Millisecond
 
 // settle returns the position and the wait of the next read after an unsettled page: until the source has settled the
 // read waits for changes, and then it requests all values.
 func (follower *Follower[T]) settle(current progress, waiting time.Duration) (progress, time.Duration) {
-	if remaining := follower.settlesAt().Sub(follower.now()); remaining > 0 {
-		return current, min(waiting, max(remaining, settleTick))
+	if remaining := follower.settledAt().Sub(follower.now()); remaining > 0 {
+		return current, min(waiting, max(remaining, minSettleWait))
 	}
 	current.position = Position{}
-	return current, min(waiting, settleTick)
+	return current, min(waiting, minSettleWait)
 }
 
 // read reads all values or changes, for which it waits up to waiting. It returns the position of the next read, and
 // whether the page was unsettled.
-func (follower *Follower[T]) ask(ctx context.Context, from Position, waiting time.Duration) (Position, bool, error) {
+func (follower *Follower[T]) read(ctx context.Context, from Position, waiting time.Duration) (Position, bool, error) {
 	startedAt := follower.now()
 	page, err := follower.source.Log.Read(ctx, from, waiting)
 	if err != nil {
@@ -174,34 +174,34 @@
 		return from, false, errors.Wrap(ErrTrimmed, "page is of another epoch")
 	}
 	// If a peer marks a page as unsettled, its age is that of a confirmation before the rollback, which remains valid.
-	confirms := page.Unsettled || follower.settled(startedAt)
+	confirms := page.Unsettled || follower.isSettled(startedAt)
 	page.Unsettled = page.Unsettled || !confirms
-	follower.takeOver(&page)
-	follower.prove(page, startedAt, confirms)
+	follower.applyPage(&page)
+	follower.confirm(page, startedAt, confirms)
 	return page.Position(), page.Unsettled, nil
 }
 
 // isSettled reports whether moment is late enough after a rollback of the source that the lost records have been
 // written again.
-func (follower *Follower[T]) settled(moment time.Time) bool {
-	return follower.epochs.Rose().IsZero() || !moment.Before(follower.settlesAt())
+func (follower *Follower[T]) isSettled(moment time.Time) bool {
+	return follower.epochs.IncreasedAt().IsZero() || !moment.Before(follower.settledAt())
 }
 
 // settledAt returns the end of the time in which the records that the source lost in the last rollback may be written
 // again.
-func (follower *Follower[T]) settlesAt() time.Time {
-	return follower.epochs.Rose().Add(follower.settings.Settle)
+func (follower *Follower[T]) settledAt() time.Time {
+	return follower.epochs.IncreasedAt().Add(follower.settings.Settle)
 }
 
 // applyPage merges a page into the values, passes the resulting changes to the listener, and replaces the records of
 // the page by them.
-func (follower *Follower[T]) takeOver(page *Page) {
+func (follower *Follower[T]) applyPage(page *Page) {
 	entries := follower.decode(page.Records)
 	now := follower.now()
 	if page.Whole {
-		entries = follower.base.replace(entries, page.Unsettled, now)
+		entries = follower.contents.replace(entries, page.Unsettled, now)
 	} else {
-		entries = follower.base.change(entries, now)
+		entries = follower.contents.change(entries, now)
 	}
 	page.Records = make([]Record, 0, len(entries))
 	changes := make([]Change[T], 0, len(entries))
@@ -220,45 +220,45 @@
 // confirm adds a page to the tail, and records that it confirms the values if confirms is true and, for a strict source,
 // no value is outdated. A page of an unsettled source or with outdated values must not confirm them: a key that was
 // removed would be accepted again.
-func (follower *Follower[T]) prove(page Page, startedAt time.Time, confirms bool) {
-	last := follower.proven.Load()
-	if !confirms || (follower.source.Strict && len(follower.base.behind) > 0) {
+func (follower *Follower[T]) confirm(page Page, startedAt time.Time, confirms bool) {
+	last := follower.confirmedAt.Load()
+	if !confirms || (follower.source.Strict && len(follower.contents.outdated) > 0) {
 		follower.tail.Add(page, time.Time{})
 		return
 	}
 	confirmedAt := startedAt.Add(-page.Age)
 	follower.tail.Add(page, confirmedAt)
 	if last == nil || confirmedAt.After(*last) {
-		follower.proven.Store(&confirmedAt)
+		follower.confirmedAt.Store(&confirmedAt)
 	}
 	if last == nil {
-		close(follower.first)
+		close(follower.confirmed)
 	}
 }
 
 // decode decodes records. A record that cannot be decoded is logged and counted.
-func (follower *Follower[T]) decode(records []Record) []held[T] {
-	entries := make([]held[T], 0, len(records))
+func (follower *Follower[T]) decode(records []Record) []entry[T] {
+	entries := make([]entry[T], 0, len(records))
 	for _, record := range records {
 		change := Change[T]{Key: record.Key}
 		if len(record.Value) > 0 {
 			value, err := follower.source.Decode(record.Key, record.Value)
-			if errors.Is(err, ErrOtherKey) {
+			if errors.Is(err, ErrIgnoredKey) {
 				continue
 			}
 			if err != nil {
 				follower.logger.Error("could not decode record",
 					"source", follower.source.Name, "key", record.Key, "error", err)
-				follower.bad.Add(1)
-				if !follower.source.TellBad {
+				follower.invalid.Add(1)
+				if !follower.source.ReportInvalid {
 					continue
 				}
-				change.Bad = true
+				change.Invalid = true
 			} else {
 				change.Value = &value
 			}
 		}
-		entries = append(entries, held[T]{record: record, change: change})
+		entries = append(entries, entry[T]{record: record, change: change})
 	}
 	return entries
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -67,7 +67,7 @@
 // follow returns a follower of the log.
 func (source *source) follow(listener follower.Listener[string]) *follower.Follower[string] {
 	settings := follower.Settings{
-		Wait: time.Second, Patience: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
+		Wait: time.Second, ResponseTimeout: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
 	}
 	decode := func(_ string, value []byte) (string, error) {
 		if string(value) == "invalid" {
@@ -236,7 +236,7 @@
 		second := follower.New(follower.Source[string]{
 			Name: "second", Log: first.Tail(), Decode: func(_ string, value []byte) (string, error) { return string(value), nil },
 		}, &listener{}, follower.Settings{
-			Wait: time.Second, Patience: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
+			Wait: time.Second, ResponseTimeout: time.Second, RetryMin: 100 * time.Millisecond, RetryMax: time.Second,
 		}, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -268,7 +268,7 @@
 
 func (orderlistener *orderListener) Replace([]follower.Change[string]) {
 	select {
-	case <-orderlistener.followed.Proven():
+	case <-orderlistener.followed.Confirmed():
 		orderlistener.early = true
 	default:
 	}
@@ -296,7 +296,7 @@
 			epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
 		listener.followed = followed
 		go followed.Run(ctx)
-		<-followed.Proven()
+		<-followed.Confirmed()
 		_, known := followed.Age()
 		assert.Assert(t, known)
 		assert.Assert(t, !listener.early)
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -7,9 +7,9 @@
 	// Wait is how long one read waits for a change.
 	Wait time.Duration `yaml:"wait" validate:"min=0,max=30s"`
 	// MinInterval is the minimum time from the start of a read to the start of the next one.
-	Pause time.Duration `yaml:"pause" validate:"min=0,max=30s"`
+	MinInterval time.Duration `yaml:"pause" validate:"min=0,max=30s"`
 	// ResponseTimeout is how long a response, or a part of one, may take in addition to Wait.
-	Patience time.Duration `yaml:"patience" validate:"min=10ms,max=30s"`
+	ResponseTimeout time.Duration `yaml:"patience" validate:"min=10ms,max=30s"`
 	// Settle is the time after a rollback of the source in which the records lost in it may still be written again.
 	Settle time.Duration `yaml:"settle" validate:"min=0,max=1m"`
 	// RetryMin and RetryMax bound the backoff after a failure, which doubles with each further one.
@@ -18,7 +18,7 @@
 }
 
 // WithMinSettle returns the settings with Settle raised to minimum if it is shorter.
-func (settings Settings) WithSettleAtLeast(minimum time.Duration) Settings {
+func (settings Settings) WithMinSettle(minimum time.Duration) Settings {
 	settings.Settle = max(settings.Settle, minimum)
 	return settings
 }
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -3,7 +3,7 @@
 import "github.com/cockroachdb/errors"
 
 // ErrIgnoredKey is returned by decoders for keys that do not belong to the source; their records are skipped.
-var ErrOtherKey = errors.New("key does not belong to the source")
+var ErrIgnoredKey = errors.New("key does not belong to the source")
 
 // Change is a new value of a key, or the removal of the key.
 type Change[T any] struct {
@@ -11,7 +11,7 @@
 	// Value is nil if the key was dropped or its value is invalid.
 	Value *T
 	// Invalid says that the value of the key cannot be decoded.
-	Bad bool
+	Invalid bool
 }
 
 // Source is a log together with the decoder of its values.
@@ -28,7 +28,7 @@
 	Strict bool
 	// ReportInvalid says that a value that cannot be decoded is passed to the listener as an invalid change.
 	// Otherwise the previous value stays.
-	TellBad bool
+	ReportInvalid bool
 }
 
 // WithLog returns a copy of the source that reads from log.
--- a/internal/follower/tail.go
+++ b/internal/follower/tail.go
@@ -14,7 +14,7 @@
 
 // maxTailChanges is how many changes a tail keeps. A read from an earlier position
 // returns all values.
-const maxTail = 512
+const maxTailChanges = 512
 
 // Tail keeps the latest values and the most recent changes of a log, so that peers can read them from this VM. It is safe
 // for concurrent use.
@@ -32,18 +32,18 @@
 	next    int64
 	// confirmedAt is the start of the read that last confirmed the content as
 	// current. It is zero before the first confirmation.
-	proven time.Time
+	confirmedAt time.Time
 	// lost says that the source is not responding.
 	lost bool
 	// updated is closed and replaced on each page, and when the source stops responding.
-	renewed chan struct{}
+	updated chan struct{}
 }
 
 var _ Log = (*Tail)(nil)
 
 // NewTail returns an empty tail, whose reads fail until a confirmed page is added.
 func NewTail(now func() time.Time) *Tail {
-	return &Tail{now: now, values: make(map[string][]byte), renewed: make(chan struct{})}
+	return &Tail{now: now, values: make(map[string][]byte), updated: make(chan struct{})}
 }
 
 // Add adds a page that was confirmed at the time given; a zero time means not confirmed.
@@ -65,37 +65,37 @@
 	}
 	if !page.Whole {
 		tail.changes = append(tail.changes, page.Records...)
-		tail.changes = slices.Clone(tail.changes[max(0, len(tail.changes)-maxTail):])
+		tail.changes = slices.Clone(tail.changes[max(0, len(tail.changes)-maxTailChanges):])
 	}
 	tail.lost = false
 	tail.next = page.Next
-	if confirmedAt.After(tail.proven) {
-		tail.proven = confirmedAt
+	if confirmedAt.After(tail.confirmedAt) {
+		tail.confirmedAt = confirmedAt
 	}
-	close(tail.renewed)
-	tail.renewed = make(chan struct{})
+	close(tail.updated)
+	tail.updated = make(chan struct{})
 }
 
 var (
 	// errUnconfirmed is returned if a tail has no confirmed content yet.
-	errUnproven = errors.New("no confirmed content yet")
+	errUnconfirmed = errors.New("no confirmed content yet")
 	// errEarlierEpoch is returned if the content of a tail is of an earlier epoch than the requested position.
-	errEarlier = errors.New("no content of the requested epoch yet")
+	errEarlierEpoch = errors.New("no content of the requested epoch yet")
 	// errLost is returned if the source of a tail is not responding.
 	errLost = errors.New("source is not responding")
 )
 
 // MarkLost records that the source is not responding, until the next page is added. Reads fail in the meantime, so that
 // peers switch to another source before the content of this one is too old for them.
-func (tail *Tail) Lose() {
+func (tail *Tail) MarkLost() {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
 	if tail.lost {
 		return
 	}
 	tail.lost = true
-	close(tail.renewed)
-	tail.renewed = make(chan struct{})
+	close(tail.updated)
+	tail.updated = make(chan struct{})
 }
 
 // Lost reports whether the source is not responding.
@@ -107,13 +107,13 @@
 
 // Read implements Log. It returns as soon as there is a change or a later confirmation.
 func (tail *Tail) Read(ctx context.Context, from Position, wait time.Duration) (Page, error) {
-	return tail.read(ctx, from, wait, errUnproven, errEarlier) // the first page of the source is expected soon
+	return tail.read(ctx, from, wait, errUnconfirmed, errEarlierEpoch) // the first page of the source is expected soon
 }
 
 // Await is like Read, but if the source is not responding it waits for it to respond
 // again. It is for peers that have no other source.
 func (tail *Tail) Await(ctx context.Context, from Position, wait time.Duration) (Page, error) {
-	return tail.read(ctx, from, wait, errUnproven, errEarlier, errLost)
+	return tail.read(ctx, from, wait, errUnconfirmed, errEarlierEpoch, errLost)
 }
 
 // read waits for an update if there are no changes, or if the error is one of retryable.
@@ -140,26 +140,26 @@
 func (tail *Tail) page(from Position, startedAt time.Time) (Page, <-chan struct{}, error) {
 	tail.mu.Lock()
 	defer tail.mu.Unlock()
-	if tail.proven.IsZero() {
-		return Page{}, tail.renewed, errUnproven
+	if tail.confirmedAt.IsZero() {
+		return Page{}, tail.updated, errUnconfirmed
 	}
 	if tail.lost {
-		return Page{}, tail.renewed, errLost
+		return Page{}, tail.updated, errLost
 	}
 	if from.Epoch > tail.epoch {
-		return Page{}, tail.renewed, errEarlier
+		return Page{}, tail.updated, errEarlierEpoch
 	}
-	page := Page{Epoch: tail.epoch, Next: tail.next, Age: startedAt.Sub(tail.proven), Unsettled: tail.unsettled}
+	page := Page{Epoch: tail.epoch, Next: tail.next, Age: startedAt.Sub(tail.confirmedAt), Unsettled: tail.unsettled}
 	offset, hasOffset := from.Offset()
 	missing := tail.next - offset
 	if hasOffset && from.Epoch == tail.epoch && missing >= 0 && missing <= int64(len(tail.changes)) {
 		page.Records = slices.Clone(tail.changes[int64(len(tail.changes))-missing:])
-		return page, tail.renewed, nil
+		return page, tail.updated, nil
 	}
 	page.Whole = true
 	for key, value := range tail.values {
 		page.Records = append(page.Records, Record{Key: key, Value: value})
 	}
 	slices.SortFunc(page.Records, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
-	return page, tail.renewed, nil
+	return page, tail.updated, nil
 }
--- a/internal/gateway/epochs.go
+++ b/internal/gateway/epochs.go
@@ -13,7 +13,7 @@
 	var handledRestore time.Time
 	for ctx.Err() == nil {
 		changed := gateway.epochs.Changed()
-		restoredAt := gateway.epochs.Rose()
+		restoredAt := gateway.epochs.IncreasedAt()
 		gateway.handleEpoch(ctx, changed, restoredAt.After(handledRestore))
 		handledRestore = restoredAt
 	}
@@ -48,6 +48,6 @@
 
 // refreshFollowers makes the followers read the store at once.
 func (gateway *Gateway) refreshFollowers() {
-	gateway.configuration.Renew()
-	gateway.directory.Renew()
+	gateway.configuration.Refresh()
+	gateway.directory.Refresh()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -174,7 +174,7 @@
 	maxDelay := func() time.Duration { return gateway.bounds.Load().Known() }
 	feedSettings := settings.Feed
 	if site.FirstStart {
-		feedSettings.Meet = feedSettings.MeetFirst
+		feedSettings.MembersTimeout = feedSettings.FirstMembersTimeout
 	}
 	// Reads of the store and reads from other VMs are each bounded by a timeout of their own.
 	viaPeers := func(name string, direct follower.Log, timeout time.Duration) follower.Log {
@@ -183,12 +183,12 @@
 	}
 	gateway.configuration = follower.New(
 		sources.Configuration.WithLog(
-			viaPeers(sources.Configuration.Name, sources.Configuration.Log, settings.Configuration.Patience)),
+			viaPeers(sources.Configuration.Name, sources.Configuration.Log, settings.Configuration.ResponseTimeout)),
 		gateway.operatorState, settings.Configuration, sources.Epochs, logger, now)
 	gateway.directory = follower.New(
 		sources.Servers.WithLog(
-			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.Patience)),
-		gateway.pool, settings.Directory.WithSettleAtLeast(entryExpiry(site)), sources.Epochs, logger, now)
+			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.ResponseTimeout)),
+		gateway.pool, settings.Directory.WithMinSettle(entryExpiry(site)), sources.Epochs, logger, now)
 	gateway.tails = map[string]*follower.Tail{
 		sources.Configuration.Name: gateway.configuration.Tail(),
 		sources.Servers.Name:       gateway.directory.Tail(),
@@ -243,7 +243,7 @@
 	group.Go(func() error { gateway.directory.Run(groupCtx); return nil })
 	group.Go(func() error { gateway.runMaintenance(groupCtx); return nil })
 	group.Go(func() error { gateway.watchEpochs(groupCtx); return nil })
-	defer gateway.clock.AfterWake(gateway.handleResume)()
+	defer gateway.clock.AfterResume(gateway.handleResume)()
 	group.Go(func() error { gateway.clock.Run(groupCtx); return nil })
 	drained := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -78,7 +78,9 @@
 		}),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "mastwinch_bad_entries_total", Help: "Entries of the platform's store that could not be read.",
-		}, func() float64 { return float64(gateway.directory.Bad() + gateway.configuration.Bad()) }),
+		}, func() float64 {
+			return float64(gateway.directory.InvalidCount() + gateway.configuration.InvalidCount())
+		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "mastwinch_resting_servers", Help: "Servers that want nothing from this VM now.",
 		}, func() float64 { return float64(len(gateway.pool.BackoffServers(gateway.site.VM))) }),
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -24,8 +24,8 @@
 
 var _ upstream.Listener = notices{}
 
-// Heard implements upstream.Listener.
-func (notices notices) Heard(server string, sentAt time.Time, status int, header http.Header) {
+// HandleResponse implements upstream.Listener.
+func (notices notices) HandleResponse(server string, sentAt time.Time, status int, header http.Header) {
 	gateway := notices.gateway
 	notice := gateway.codec.Notice(status, header)
 	if notice.Leaving {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -68,7 +68,7 @@
 func (gateway *Gateway) availableServers(service *catalog.Service, tried []string) []placement.Server {
 	servers := placement.WithoutIDs(gateway.pool.Eligible(service, tried), gateway.pool.BackoffServers(gateway.site.VM))
 	for i := range servers {
-		servers[i].Connected = gateway.upstream.Kept(servers[i].Address)
+		servers[i].Connected = gateway.upstream.HasIdle(servers[i].Address)
 	}
 	return servers
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -146,7 +146,7 @@
 		return nil
 	}
 	select {
-	case <-gateway.configuration.Proven():
+	case <-gateway.configuration.Confirmed():
 	case <-waitCtx.Done():
 	}
 	return current
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -137,12 +137,12 @@
 		Feed:        feed.DefaultSettings(),
 		Upstream:    upstream.DefaultSettings(),
 		Configuration: follower.Settings{
-			Wait: 1500 * time.Millisecond, Patience: 700 * time.Millisecond,
+			Wait: 1500 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
 			Settle: 2 * time.Second, // the platform's writers rewrite their entries within this time
 		},
 		Directory: follower.Settings{
-			Pause: 800 * time.Millisecond, Patience: 700 * time.Millisecond,
+			MinInterval: 800 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
 			Settle: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
 		},
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -42,7 +42,7 @@
 		VM: gateway.site.VM, Members: members, Coordinators: gateway.exchange.Coordinators(),
 		Epoch: int64(current), Servers: gateway.pool.Status(),
 	}
-	if rose := gateway.epochs.Rose(); !rose.IsZero() {
+	if rose := gateway.epochs.IncreasedAt(); !rose.IsZero() {
 		status.EpochSeconds = now.Sub(rose).Seconds()
 	}
 	for _, entry := range gateway.quarantine.Entries() {
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -63,7 +63,7 @@
 	withHarness(t, nil, map[string]backend{"one": responses(http.StatusOK, "run")}, func(harness *harness) {
 		time.Sleep(time.Second)
 		harness.suspend(time.Minute)
-		time.Sleep(gateway.DefaultSettings().Configuration.Patience)
+		time.Sleep(gateway.DefaultSettings().Configuration.ResponseTimeout)
 		assert.Equal(t, harness.query(plainRequest(http.MethodGet, "look")).status, http.StatusOK)
 	})
 }
--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -8,7 +8,7 @@
 )
 
 // idleTimeout is how long an idle connection of a transport is kept.
-const idleTime = 10 * time.Second
+const idleTimeout = 10 * time.Second
 
 // NewTransport returns a transport that sends HTTP requests over network.
 func NewTransport(network Network) *http.Transport {
@@ -16,6 +16,6 @@
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return network.Dial(ctx, address)
 		},
-		IdleConnTimeout: idleTime,
+		IdleConnTimeout: idleTimeout,
 	}
 }
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -26,7 +26,7 @@
 	defer pool.mu.Unlock()
 	listed := make(map[string]bool, len(values))
 	for _, value := range values {
-		listed[value.Key] = value.Value != nil || value.Bad
+		listed[value.Key] = value.Value != nil || value.Invalid
 		pool.apply(value, false)
 	}
 	for key := range pool.listed {
@@ -65,7 +65,7 @@
 // apply applies a change of a list entry. A fresh entry was written just now. Others may be old, so
 // the remaining time of their cold start counts from when it was first received.
 func (pool *Pool) apply(change follower.Change[directory.Entry], fresh bool) {
-	if change.Bad {
+	if change.Invalid {
 		pool.markEntryInvalid(change.Key)
 		return
 	}
--- a/internal/pool/server_status_test.go
+++ b/internal/pool/server_status_test.go
@@ -50,7 +50,7 @@
 			want:   func(status *pool.ServerStatus) { status.Listing = pool.ListingClosed },
 		},
 		"invalid entry": {
-			action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{{Key: "s1", Bad: true}}) },
+			action: func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{{Key: "s1", Invalid: true}}) },
 			want:   func(status *pool.ServerStatus) { status.Listing = pool.ListingInvalid },
 		},
 		"missing from the list": {action: func(fixture *fixture) {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -225,4 +225,4 @@
 
 var _ upstream.Listener = noopListener{}
 
-func (noopListener) Heard(string, time.Time, int, http.Header) {}
+func (noopListener) HandleResponse(string, time.Time, int, http.Header) {}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -22,7 +22,7 @@
 
 // readBufferSize is the size of the read buffer of a connection in bytes. The
 // header and most responses that are not streams fit into it.
-const readBuffer = 4 << 10
+const readBufferSize = 4 << 10
 
 // Settings limit the connections to servers.
 type Settings struct {
@@ -34,9 +34,9 @@
 	IdleMargin time.Duration `yaml:"idle_margin" validate:"min=0"`
 	// The timeout for a new connection is OpenFactor times the time that the last one to the server took, but at least
 	// OpenMin. It doubles with each timeout since, up to OpenMax.
-	OpenMin   time.Duration `yaml:"open_min" validate:"min=10ms"`
-	OpenTimes float64       `yaml:"open_times" validate:"min=1"`
-	OpenMax   time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
+	OpenMin    time.Duration `yaml:"open_min" validate:"min=10ms"`
+	OpenFactor float64       `yaml:"open_times" validate:"min=1"`
+	OpenMax    time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
 	// OpenMemory is how long the times of connection attempts are kept.
 	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
@@ -48,7 +48,7 @@
 		IdleTime:   4 * time.Second,
 		IdleMargin: 700 * time.Millisecond,
 		OpenMin:    150 * time.Millisecond,
-		OpenTimes:  4,
+		OpenFactor: 4,
 		OpenMax:    500 * time.Millisecond,
 		OpenMemory: time.Minute,
 	}
@@ -91,9 +91,9 @@
 
 	mu sync.Mutex
 	// idle has the idle connections by address, the most recently used one last.
-	idle     map[string][]*connection
-	opened   int
-	openings *openings
+	idle    map[string][]*connection
+	opened  int
+	history *history
 }
 
 // Dialer opens network connections.
@@ -106,7 +106,7 @@
 type Listener interface {
 	// HandleResponse handles the header of a response to a request that was sent at sentAt. The state in the header is
 	// from a later time.
-	Heard(server string, sentAt time.Time, status int, header http.Header)
+	HandleResponse(server string, sentAt time.Time, status int, header http.Header)
 }
 
 // New returns a client without open connections.
@@ -116,7 +116,7 @@
 		listener: listener,
 		now:      now,
 		dialer:   dialer,
-		openings: newOpenings(settings, now),
+		history:  newHistory(settings, now),
 		idle:     make(map[string][]*connection),
 	}
 }
@@ -135,7 +135,7 @@
 func (client *Client) Send(
 	ctx context.Context, address string, request Request, matches func(http.Header) bool,
 ) (*Response, error) {
-	connection, err := client.take(ctx, address)
+	connection, err := client.acquire(ctx, address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Err: err}
 	}
@@ -144,33 +144,33 @@
 	response, err := connection.roundTrip(request, matches)
 	if err != nil {
 		connection.close()
-		if connection.kept && !errors.Is(context.Cause(ctx), context.Canceled) {
-			client.drop(address)
+		if connection.pooled && !errors.Is(context.Cause(ctx), context.Canceled) {
+			client.closeIdle(address)
 		}
 		if ctx.Err() != nil {
 			return nil, errors.Wrap(context.Cause(ctx), err.Error())
 		}
 		return nil, err
 	}
-	client.listener.Heard(request.Server, sentAt, response.Status, response.Header)
+	client.listener.HandleResponse(request.Server, sentAt, response.Status, response.Header)
 	response.client = client
 	return response, nil
 }
 
 // acquire returns an idle connection that can be reused, or a new one.
-func (client *Client) take(ctx context.Context, address string) (*connection, error) {
+func (client *Client) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
 		pooled := client.pop(address)
 		if pooled == nil {
 			break
 		}
-		if pooled.quiet() && client.now().Before(pooled.goodUntil) {
-			pooled.kept = true
+		if pooled.isQuiet() && client.now().Before(pooled.expiresAt) {
+			pooled.pooled = true
 			return pooled, nil
 		}
 		pooled.close()
 	}
-	dialled, err := client.openings.dial(ctx, client.dialer, address)
+	dialled, err := client.history.dial(ctx, client.dialer, address)
 	if err != nil {
 		return nil, err
 	}
@@ -180,12 +180,12 @@
 	return &connection{
 		address: address,
 		conn:    dialled,
-		reader:  bufio.NewReaderSize(dialled, readBuffer),
+		reader:  bufio.NewReaderSize(dialled, readBufferSize),
 	}, nil
 }
 
 // HasIdle reports whether there is an idle connection to a server.
-func (client *Client) Kept(address string) bool {
+func (client *Client) HasIdle(address string) bool {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return len(client.idle[address]) > 0
@@ -194,7 +194,7 @@
 // closeIdle closes the idle connections to a server. It is called after a request on
 // a reused connection failed: the other ones may be dead too without a reset, while
 // new connections work, and each would delay one more request until its timeout.
-func (client *Client) drop(address string) {
+func (client *Client) closeIdle(address string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	for _, connection := range client.idle[address] {
@@ -217,11 +217,11 @@
 
 // release returns a connection to the idle ones, unless there are MaxIdle already. idle is the idle timeout that the
 // server advertised, or zero.
-func (client *Client) keep(connection *connection, idle time.Duration) {
+func (client *Client) release(connection *connection, idle time.Duration) {
 	if idle <= 0 {
 		idle = client.settings.IdleTime
 	}
-	connection.goodUntil = client.now().Add(idle - client.settings.IdleMargin)
+	connection.expiresAt = client.now().Add(idle - client.settings.IdleMargin)
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	connections := client.idle[connection.address]
@@ -234,14 +234,14 @@
 
 // Sweep closes the idle connections that have expired. It is to be called at intervals.
 func (client *Client) Sweep() {
-	client.openings.sweep()
+	client.history.sweep()
 	now := client.now()
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	for address, connections := range client.idle {
 		remaining := connections[:0]
 		for _, connection := range connections {
-			if now.Before(connection.goodUntil) {
+			if now.Before(connection.expiresAt) {
 				remaining = append(remaining, connection)
 				continue
 			}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -14,18 +14,18 @@
 )
 
 // maxSkipped is how many responses to earlier requests are skipped before the one to the current request.
-const maxSurplus = 2
+const maxSkipped = 2
 
 // maxSkippedBytes bounds the body of a response that is skipped.
-const maxSurplusBytes = 1 << 20
+const maxSkippedBytes = 1 << 20
 
 // maxInlineBytes is the size up to which a write to a socket does not block. A larger
 // request is written in a goroutine of its own while the response is read, since a
 // server may respond before it has read the request.
-const inlineBytes = 2 << 10
+const maxInlineBytes = 2 << 10
 
 // errSkipped is returned if maxSkipped responses were skipped and the next one does not match the request either.
-var errSurplus = errors.New("no response matches the request")
+var errSkipped = errors.New("no response matches the request")
 
 // connection is a connection to a server. It is used by one request at a time.
 type connection struct {
@@ -33,9 +33,9 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 	// pooled says that it came from the idle connections, so that an earlier request was sent on it.
-	kept bool
+	pooled bool
 	// expiresAt is when it expires while it is idle.
-	goodUntil time.Time
+	expiresAt time.Time
 	// stop unregisters close from the context of the current request. It reports false if close was called.
 	stop func() bool
 	once sync.Once
@@ -43,7 +43,7 @@
 	written  chan struct{}
 	writeErr error
 	// skipped says that a response was skipped, so that the connection must not be reused.
-	odd bool
+	skipped bool
 }
 
 func (connection *connection) close() {
@@ -53,7 +53,7 @@
 }
 
 // isQuiet reports whether the connection is open and has no bytes to read.
-func (connection *connection) quiet() bool {
+func (connection *connection) isQuiet() bool {
 	if connection.reader.Buffered() > 0 {
 		return false
 	}
@@ -78,7 +78,7 @@
 // roundTrip writes a request and reads responses up to the header of the one that matches.
 func (connection *connection) roundTrip(request Request, matches func(http.Header) bool) (*Response, error) {
 	connection.write(encode(request))
-	for range maxSurplus + 1 {
+	for range maxSkipped + 1 {
 		//nolint:bodyclose // Response.Close closes or reuses the connection
 		httpResponse, err := http.ReadResponse(connection.reader, &http.Request{Method: request.Method})
 		if err != nil {
@@ -88,15 +88,15 @@
 			continue
 		}
 		if matches(httpResponse.Header) {
-			return &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, answer: httpResponse, connection: connection}, nil
+			return &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, httpResponse: httpResponse, connection: connection}, nil
 		}
-		connection.odd = true
-		count, err := io.CopyN(io.Discard, httpResponse.Body, maxSurplusBytes)
+		connection.skipped = true
+		count, err := io.CopyN(io.Discard, httpResponse.Body, maxSkippedBytes)
 		if !errors.Is(err, io.EOF) {
 			return nil, errors.Newf("could not skip response of %s to an earlier request after %d bytes: %v", connection.address, count, err)
 		}
 	}
-	return nil, errors.Wrapf(errSurplus, "%s", connection.address)
+	return nil, errors.Wrapf(errSkipped, "%s", connection.address)
 }
 
 // write writes the request, in a goroutine of its own if it is larger than maxInlineBytes.
@@ -106,7 +106,7 @@
 		defer close(connection.written)
 		_, connection.writeErr = connection.conn.Write(data)
 	}
-	if len(data) <= inlineBytes {
+	if len(data) <= maxInlineBytes {
 		write()
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // isWritten reports whether the whole request has been written.
-func (connection *connection) wroteAll() bool {
+func (connection *connection) isWritten() bool {
 	select {
 	case <-connection.written:
 		return connection.writeErr == nil
--- a/internal/upstream/history.go
+++ b/internal/upstream/history.go
@@ -13,81 +13,81 @@
 //
 // A short timeout matters if data centres are disconnected or links lose packets: a lost packet of a new connection is
 // sent again only after a second, and within that time the request can meet its deadline on another server.
-type openings struct {
+type history struct {
 	settings Settings
 	now      func() time.Time
 
 	mu        sync.Mutex
-	byAddress map[string]opening
+	byAddress map[string]attempts
 }
 
 // attempts describes the connection attempts to one server.
-type opening struct {
+type attempts struct {
 	// duration is how long the last successful attempt took, or zero if none succeeded.
-	took time.Duration
+	duration time.Duration
 	// timeouts is the number of attempts that timed out since.
-	misses int
+	timeouts int
 	// updatedAt is when the last recorded attempt ended.
-	at time.Time
+	updatedAt time.Time
 }
 
 // timeout returns the timeout for the next attempt. It doubles with each attempt that timed out, so that a distant server
 // is reached after some attempts.
-func (attempts opening) patience(settings Settings) time.Duration {
-	limit := max(settings.OpenMin, time.Duration(settings.OpenTimes*float64(attempts.took)))
-	for range attempts.misses {
+func (attempts attempts) timeout(settings Settings) time.Duration {
+	limit := max(settings.OpenMin, time.Duration(settings.OpenFactor*float64(attempts.duration)))
+	for range attempts.timeouts {
 		limit = min(2*limit, settings.OpenMax)
 	}
 	return min(limit, settings.OpenMax)
 }
 
-func newOpenings(settings Settings, now func() time.Time) *openings {
-	return &openings{settings: settings, now: now, byAddress: make(map[string]opening)}
+func newHistory(settings Settings, now func() time.Time) *history {
+	return &history{settings: settings, now: now, byAddress: make(map[string]attempts)}
 }
 
 // dial opens a connection with a timeout derived from the earlier ones to address, and records the outcome. An attempt
 // that ends because of ctx is not recorded.
-func (history *openings) dial(ctx context.Context, dialer Dialer, address string) (net.Conn, error) {
+func (history *history) dial(ctx context.Context, dialer Dialer, address string) (net.Conn, error) {
 	startedAt := history.now()
-	bounded, cancel := context.WithTimeout(ctx, history.of(address).patience(history.settings))
+	bounded, cancel := context.WithTimeout(ctx, history.get(address).timeout(history.settings))
 	defer cancel()
 	dialled, err := dialer.Dial(bounded, address)
 	switch {
 	case err == nil:
-		history.set(address, opening{took: history.now().Sub(startedAt)})
+		history.set(address, attempts{duration: history.now().Sub(startedAt)})
 		return dialled, nil
 	case ctx.Err() == nil && bounded.Err() != nil:
-		history.miss(address)
+		history.recordTimeout(address)
 	}
 	return nil, errors.WithStack(err)
 }
 
-func (history *openings) of(address string) opening {
+func (history *history) get(address string) attempts {
 	history.mu.Lock()
 	defer history.mu.Unlock()
 	return history.byAddress[address]
 }
 
-func (history *openings) set(address string, record opening) {
+func (history *history) set(address string, record attempts) {
 	history.mu.Lock()
 	defer history.mu.Unlock()
-	record.at = history.now()
+	record.updatedAt = history.now()
 	history.byAddress[address] = record
 }
 
-func (history *openings) miss(address string) {
-	record := history.of(address)
-	record.misses++
+func (history *history) recordTimeout(address string) {
+	record := history.get(address)
+	record.timeouts++
 	history.set(address, record)
 }
 
 // sweep drops the records of servers without an attempt within Settings.OpenMemory.
-func (history *openings) sweep() {
+func (history *history) sweep() {
 	history.mu.Lock()
 	defer history.mu.Unlock()
 	oldest := history.now().Add(-history.settings.OpenMemory)
 	for address, record := range history.byAddress {
-		if record.at.Before(oldest) {
+		if record.updatedAt.Before(oldest) {
 			delete(history.byAddress, address)
 		}
 	}
--- a/internal/upstream/history_internal_test.go
+++ b/internal/upstream/history_internal_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				history := newOpenings(DefaultSettings(), time.Now)
+				history := newHistory(DefaultSettings(), time.Now)
 				for index, delay := range test.delay {
 					startedAt := time.Now()
 					_, err := history.dial(t.Context(), &distant{delay: delay}, "a")
@@ -77,7 +77,7 @@
 // so it must not count as a timeout.
 func TestCancelledDialIsNotRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		history := newOpenings(DefaultSettings(), time.Now)
+		history := newHistory(DefaultSettings(), time.Now)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
 		_, err := history.dial(ctx, &distant{}, "a")
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -15,25 +15,25 @@
 	Status int
 	Header http.Header
 
-	answer     *http.Response
-	connection *connection
-	client     *Client
+	httpResponse *http.Response
+	connection   *connection
+	client       *Client
 	// bodyRead says that the whole body was read.
-	ended bool
+	bodyRead bool
 }
 
 // Read implements io.Reader. It reads the body.
 func (response *Response) Read(buffer []byte) (int, error) {
-	count, err := response.answer.Body.Read(buffer)
+	count, err := response.httpResponse.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		response.ended = true
+		response.bodyRead = true
 	}
 	return count, err //nolint:wrapcheck // callers of io.Reader compare with io.EOF
 }
 
 // Size returns the size of the body in bytes. It reports false if the header does not state it.
 func (response *Response) Size() (int64, bool) {
-	return response.answer.ContentLength, response.answer.ContentLength >= 0
+	return response.httpResponse.ContentLength, response.httpResponse.ContentLength >= 0
 }
 
 // SetReadDeadline sets the time at which a pending or later Read fails. The zero time removes the deadline.
@@ -42,8 +42,8 @@
 }
 
 // isDelimited reports whether the response states its own end, so that it does not end with the connection.
-func (response *Response) framed() bool {
-	return response.answer.ContentLength >= 0 || len(response.answer.TransferEncoding) > 0
+func (response *Response) isDelimited() bool {
+	return response.httpResponse.ContentLength >= 0 || len(response.httpResponse.TransferEncoding) > 0
 }
 
 // Close ends the use of the connection. It becomes idle if the whole response was
@@ -52,8 +52,8 @@
 func (response *Response) Close(idle time.Duration) {
 	connection := response.connection
 	unregistered := connection.stop()
-	reusable := response.ended && response.framed() && !response.answer.Close && !connection.odd &&
-		connection.wroteAll() && connection.reader.Buffered() == 0
+	reusable := response.bodyRead && response.isDelimited() && !response.httpResponse.Close && !connection.skipped &&
+		connection.isWritten() && connection.reader.Buffered() == 0
 	if !reusable || !unregistered {
 		connection.close()
 		return
@@ -62,5 +62,5 @@
 		connection.close()
 		return
 	}
-	response.client.keep(connection, idle)
+	response.client.release(connection, idle)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -94,7 +94,7 @@
 		wantOpened int64
 	}{
 		"connection is reused": {
-			script:     echoes,
+			script:     echo,
 			wantBodies: [2]string{"/a%2Fb?c", "/a%2Fb?c"}, wantOpened: 1,
 		},
 		"not reused after Connection: close": {
@@ -106,7 +106,7 @@
 			wantBodies: [2]string{"x", "x"}, wantOpened: 2,
 		},
 		"not reused with bytes after the response": {
-			script:     repeats,
+			script:     respondTwice,
 			wantBodies: [2]string{"x", "x"}, wantOpened: 2,
 		},
 		"response to an earlier request is skipped": {
@@ -163,7 +163,7 @@
 }
 
 // echo responds to each request with its target.
-func echoes(conn net.Conn, requests *bufio.Reader, _ int64) {
+func echo(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
 		if !ok {
@@ -174,7 +174,7 @@
 }
 
 // respondTwice responds to each request twice.
-func repeats(conn net.Conn, requests *bufio.Reader, _ int64) {
+func respondTwice(conn net.Conn, requests *bufio.Reader, _ int64) {
 	for {
 		request, ok := readRequest(requests)
 		if !ok {
@@ -240,7 +240,7 @@
 	return barrier
 }
 
-func (barrier *barrier) pass() {
+func (barrier *barrier) wait() {
 	barrier.waiting.Done()
 	barrier.waiting.Wait()
 }
@@ -272,7 +272,7 @@
 				return
 			}
 			if nth <= idle {
-				together.pass()
+				together.wait()
 			}
 			_, _ = io.WriteString(conn, reply(request.Header.Get("Request-Id"), "whole"))
 			if nth <= idle {
@@ -288,7 +288,7 @@
 	time.AfterFunc(100*time.Millisecond, func() { cancel(errors.New("server does not respond")) })
 	_, err := send(ctx, client, server.address(), "lost", "")
 	assert.ErrorContains(t, err, "server does not respond")
-	assert.Assert(t, !client.Kept(server.address()), "the other idle connections are closed too")
+	assert.Assert(t, !client.HasIdle(server.address()), "the other idle connections are closed too")
 	got, err := send(t.Context(), client, server.address(), "after", "")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "whole")
@@ -310,7 +310,7 @@
 				continue
 			}
 			if strings.HasPrefix(id, "first") {
-				together.pass()
+				together.wait()
 			}
 			_, _ = io.WriteString(conn, reply(id, "whole"))
 		}
@@ -321,5 +321,5 @@
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := send(ctx, client, server.address(), "cancelled", "")
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.Assert(t, client.Kept(server.address()))
+	assert.Assert(t, client.HasIdle(server.address()))
 }
