--- a/internal/keeper/appender.go
+++ b/internal/keeper/appender.go
@@ -16,21 +16,22 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Bounds of the appender.
+// Limits and delay of the appender.
 const (
 	maxQueued     = 64 << 10
 	maxBatchBytes = 256 << 10
-	// readBackWait is how long records of a failed append are looked for in
-	// the log before they are appended again.
+	// readBackDelay is how long the appender waits, after a failed append, for
+	// the records to be read back from the log before it appends them again.
 	readBackWait = 300 * time.Millisecond
 )
 
-// errQueueFull says that the log takes records more slowly than they come.
-var errQueueFull = errors.New("keeper: too many records wait for the log")
+// errQueueFull is returned when records are proposed faster than the log
+// accepts them.
+var errQueueFull = errors.New("keeper: append queue is full")
 
-// appender puts records on the log in batches. A record is settled when the
-// replica has read it back; until then it is appended again after an error,
-// which is harmless since the fold accepts it at most once.
+// appender appends records to the log in batches. After an error, records that
+// the replica has not read back from the log are appended again. Duplicates in
+// the log are harmless, since applying the log accepts a record at most once.
 type appender struct {
 	log      infra.Log
 	replica  *replica.Replica
@@ -39,20 +40,22 @@
 	logger   *slog.Logger
 
 	mu sync.Mutex
-	// queue has records not yet on the log, as far as known, oldest first.
+	// queue holds the records that have not been sent to the log, oldest first.
 	queue []*proposal
-	// queued has the IDs of the records in queue and in flight.
+	// pending has the IDs of the records in queue and in flight.
 	queued map[string]struct{}
-	// filled gets a token when the queue is no longer empty.
+	// nonEmpty receives a value when a record is added to the queue.
 	filled chan struct{}
 }
 
+// proposal is a record to append.
 type proposal struct {
 	record *wire.Record
-	// expires is when the appender stops trying.
+	// deadline is when the appender stops retrying.
 	expires time.Time
-	// read is closed when the record has been read back.
+	// verdict receives the verdict when the record has been read back.
 	read <-chan fold.Verdict
+	// stop ends the wait for the verdict.
 	stop func()
 }
 
@@ -70,7 +73,8 @@
 	}
 }
 
-// propose queues a record. One that is queued already is not queued twice.
+// propose queues a record. A record with the ID of one that is queued or in
+// flight is ignored. It returns errQueueFull if the queue is full.
 func (appender *appender) propose(record *wire.Record) error {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
@@ -80,11 +84,11 @@
 	if len(appender.queue) >= maxQueued {
 		return errQueueFull
 	}
-	read, stop := appender.replica.Await(record.GetId())
+	verdict, stop := appender.replica.Await(record.GetId())
 	appender.queue = append(appender.queue, &proposal{
 		record:  record,
 		expires: time.Now().Add(appender.settings.ProposalTime),
-		read:    read,
+		read:    verdict,
 		stop:    stop,
 	})
 	appender.queued[record.GetId()] = struct{}{}
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// run appends batches until ctx is done.
+// run appends queued records in batches until ctx is done.
 func (appender *appender) run(ctx context.Context) {
 	for {
 		select {
@@ -111,7 +115,8 @@
 	}
 }
 
-// take removes the next batch from the queue.
+// nextBatch removes the next batch from the queue. It returns an empty batch if
+// the queue is empty.
 func (appender *appender) take() []*proposal {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
@@ -129,7 +134,8 @@
 	return batch
 }
 
-// append tries until all records of the batch are on the log or too old.
+// append retries until each record of the batch is in the log or past its
+// deadline.
 func (appender *appender) append(ctx context.Context, batch []*proposal) {
 	for len(batch) > 0 {
 		err := appender.appendOnce(ctx, batch)
@@ -141,13 +147,15 @@
 			return
 		}
 		appender.metrics.appendErrors.Inc()
-		appender.logger.Warn("append failed, its records are looked for in the log",
+		appender.logger.Warn("append failed; retrying the records that are not read back from the log",
 			"records", len(batch), "error", err)
 		wait.For(ctx, readBackWait)
 		batch = appender.unsettled(batch, time.Now())
 	}
 }
 
+// appendOnce sends the batch to the log as one entry. After an error the entry
+// may still be in the log.
 func (appender *appender) appendOnce(ctx context.Context, batch []*proposal) error {
 	records := make([]*wire.Record, 0, len(batch))
 	for _, proposal := range batch {
@@ -157,37 +165,39 @@
 	if err != nil {
 		return errors.Wrap(err, "keeper: append")
 	}
-	appending, cancel := context.WithTimeout(ctx, appender.settings.AppendTimeout)
+	appendCtx, cancel := context.WithTimeout(ctx, appender.settings.AppendTimeout)
 	defer cancel()
 	started := time.Now()
-	err = appender.log.Append(appending, data)
+	err = appender.log.Append(appendCtx, data)
 	appender.metrics.appends.Inc()
 	appender.metrics.appendSeconds.Observe(time.Since(started).Seconds())
 	appender.metrics.appendRecords.Add(float64(len(records)))
 	return err
 }
 
-// unsettled returns the proposals of batch that were not read back and are
-// not too old, and settles the others.
+// retryable returns the proposals of batch that were not read back and are not
+// past their deadline, and removes the others.
 func (appender *appender) unsettled(batch []*proposal, now time.Time) []*proposal {
-	var left, settled []*proposal
+	var remaining, finished []*proposal
 	for _, proposal := range batch {
 		select {
 		case <-proposal.read:
-			settled = append(settled, proposal)
+			finished = append(finished, proposal)
 			continue
 		default:
 		}
 		if now.After(proposal.expires) {
-			settled = append(settled, proposal)
+			finished = append(finished, proposal)
 			continue
 		}
-		left = append(left, proposal)
+		remaining = append(remaining, proposal)
 	}
-	appender.settle(settled)
-	return left
+	appender.settle(finished)
+	return remaining
 }
 
+// remove ends the wait for the verdicts of the batch and allows its record IDs
+// to be proposed again.
 func (appender *appender) settle(batch []*proposal) {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
--- a/internal/keeper/checkpoint.go
+++ b/internal/keeper/checkpoint.go
@@ -10,11 +10,11 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// checkpointPartBytes is the most that one part of a checkpoint holds, well
-// below the size that the log takes.
+// checkpointPartBytes is the maximum data size of one part of a checkpoint, well
+// below the maximum entry size of the log.
 const checkpointPartBytes = 256 << 10
 
-// splitCheckpoint returns the log entries of a checkpoint of state.
+// splitCheckpoint encodes a checkpoint of state as one or more log entries.
 func splitCheckpoint(state *wire.State) ([][]byte, error) {
 	data, err := proto.Marshal(state)
 	if err != nil {
@@ -40,12 +40,12 @@
 	return entries, nil
 }
 
-// checkpointReader puts checkpoints together from the entries of their
-// stream, read in order.
+// checkpointReader assembles checkpoints from the entries of the checkpoint
+// stream, which are added in order.
 type checkpointReader struct {
-	// parts has the parts read so far of each writer's checkpoint.
+	// parts has the parts read so far of each incomplete checkpoint, by writer.
 	parts map[string][]*wire.CheckpointPart
-	// newest is the whole checkpoint with the highest next offset.
+	// newest is the complete checkpoint with the highest next offset, or nil.
 	newest *wire.State
 }
 
@@ -53,25 +53,24 @@
 	return &checkpointReader{parts: make(map[string][]*wire.CheckpointPart)}
 }
 
-// add takes the next entry and reports whether it made a checkpoint whole.
-// Entries that are no part of one are passed over, and so is a part that came
-// twice.
-func (checkpointreader *checkpointReader) add(entry infra.Entry) bool {
+// add processes the next entry and reports whether it completed a checkpoint.
+// Entries that are not checkpoint parts and duplicate parts are ignored.
+func (reader *checkpointReader) add(entry infra.Entry) bool {
 	part := &wire.CheckpointPart{}
 	err := proto.Unmarshal(entry.Data, part)
 	if err != nil || part.GetWriter() == "" {
 		return false
 	}
-	parts := checkpointreader.parts[part.GetWriter()]
+	parts := reader.parts[part.GetWriter()]
 	if int(part.GetPart()) != len(parts) {
 		return false
 	}
 	parts = append(parts, part)
-	checkpointreader.parts[part.GetWriter()] = parts
+	reader.parts[part.GetWriter()] = parts
 	if len(parts) < int(part.GetParts()) {
 		return false
 	}
-	delete(checkpointreader.parts, part.GetWriter())
+	delete(reader.parts, part.GetWriter())
 	var data []byte
 	for _, part := range parts {
 		data = append(data, part.GetData()...)
@@ -81,8 +80,8 @@
 	if err != nil {
 		return false
 	}
-	if state.GetNextOffset() >= checkpointreader.newest.GetNextOffset() {
-		checkpointreader.newest = state
+	if state.GetNextOffset() >= reader.newest.GetNextOffset() {
+		reader.newest = state
 	}
 	return true
 }
--- a/internal/keeper/fakelog_test.go
+++ b/internal/keeper/fakelog_test.go
@@ -10,18 +10,20 @@
 	"github.com/mastwinch/mastwinch/internal/infra"
 )
 
-var errDown = errors.New("the log is down")
+var errDown = errors.New("the log is unavailable")
 
-// fakeLog is a stream in memory.
+// fakeLog is an in-memory implementation of infra.Log.
 type fakeLog struct {
 	mu      sync.Mutex
 	first   uint64
 	entries [][]byte
 	down    bool
-	// loseAnswers is how many appends still take effect with an error.
+	// lostResponses is how many of the next appends take effect but return an
+	// error.
 	loseAnswers int
 	appends     int
-	grown       chan struct{}
+	// grown is closed, and replaced, when entries change.
+	grown chan struct{}
 }
 
 func newFakeLog() *fakeLog {
@@ -40,7 +42,7 @@
 	fakelog.grown = make(chan struct{})
 	if fakelog.loseAnswers > 0 {
 		fakelog.loseAnswers--
-		return errors.New("answer lost")
+		return errors.New("response lost")
 	}
 	return nil
 }
@@ -84,10 +86,10 @@
 	fakelog.first = first
 }
 
-func (fakelog *fakeLog) setDown(down bool) {
+func (fakelog *fakeLog) setDown(unavailable bool) {
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
-	fakelog.down = down
+	fakelog.down = unavailable
 }
 
 func (fakelog *fakeLog) count() int {
@@ -96,7 +98,8 @@
 	return fakelog.appends
 }
 
-// shorten lets the log come back with its oldest entries alone.
+// truncate drops all but the oldest count entries, as a log does that is restored
+// from an old copy.
 func (fakelog *fakeLog) shorten(count int) {
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
--- a/internal/keeper/follower.go
+++ b/internal/keeper/follower.go
@@ -15,50 +15,54 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Waits of the follower.
+// Delay and timeouts of the follower.
 const (
+	// readRetry is the delay before a failed read or append is retried.
 	readRetry   = 250 * time.Millisecond
 	readTimeout = 10 * time.Second
 	peerTimeout = 3 * time.Second
 )
 
-// follower reads the log into the hub. It gets a base from the newest
-// checkpoint when entries have expired, and from a peer when the log is down.
+// follower reads the log into the hub. If the log entries it needs have expired,
+// it restores the state from the newest checkpoint; if the log is unavailable or no
+// checkpoint is recent enough, it restores the state from a peer.
 type follower struct {
 	log         infra.Log
 	checkpoints infra.Log
 	hub         *hub
-	// peers returns the addresses of other keepers.
+	// peers returns the addresses of the other keepers.
 	peers       func() []string
 	credentials link.Credentials
 	options     link.Options
 	metrics     *metrics
 	logger      *slog.Logger
 
-	// ready is set once the state is as new as the log was, or was taken
-	// from a peer.
+	// ready is set once the replica has caught up with the log, or its state was
+	// restored from a peer.
 	ready atomic.Bool
-	// shorter says that the log lost entries that were folded. Its offsets mean others from then on, so nothing of it is
-	// folded any more: else this keeper would go on without what stands there now, unlike one that starts then.
+	// logTruncated is set when the log lost entries that the replica has applied. The log then reuses their offsets for
+	// other entries, so this keeper stops applying entries: otherwise its state would differ from that of a keeper
+	// that starts later and reads the new entries.
 	shorter bool
 }
 
-// errShorter says that the log lost entries that were folded.
-var errShorter = errors.New("log lost entries that were folded; start this process again")
+// errLogTruncated is returned when the log lost entries that the replica has
+// applied.
+var errShorter = errors.New("log lost entries that this keeper has applied; restart the process")
 
-// run follows the log until ctx is done.
+// run follows the log until ctx is done or the log is truncated.
 func (follower *follower) run(ctx context.Context) {
 	for ctx.Err() == nil && !follower.shorter {
 		err := follower.read(ctx)
 		if expired, ok := asExpired(err); ok {
-			follower.logger.Info("entries expired, a base is needed", "wanted", expired.Wanted, "first", expired.First)
+			follower.logger.Info("log entries expired; restoring the state from a checkpoint", "wanted", expired.Wanted, "first", expired.First)
 			err = follower.rebase(ctx, expired.First)
 		}
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
 		follower.metrics.logUp.Set(0)
-		follower.logger.Warn("log cannot be followed", "next_offset", follower.hub.replica.Next(), "error", err)
+		follower.logger.Warn("failed to follow the log", "next_offset", follower.hub.replica.Next(), "error", err)
 		if !follower.ready.Load() && !follower.shorter {
 			follower.takeFromPeer(ctx)
 		}
@@ -66,18 +70,18 @@
 	}
 }
 
-// read applies one page of the log.
+// read applies the next page of the log.
 func (follower *follower) read(ctx context.Context) error {
-	reading, cancel := context.WithTimeout(ctx, readTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	page, err := follower.log.Read(reading, follower.hub.replica.Next())
+	page, err := follower.log.Read(readCtx, follower.hub.replica.Next())
 	if err != nil {
 		return err
 	}
 	if page.Next < follower.hub.replica.Next() {
 		follower.shorter = true
 		follower.ready.Store(false)
-		return errors.Wrapf(errShorter, "%d entries of %d", page.Next, follower.hub.replica.Next())
+		return errors.Wrapf(errShorter, "log ends at offset %d, applied up to %d", page.Next, follower.hub.replica.Next())
 	}
 	follower.metrics.logUp.Set(1)
 	for _, entry := range page.Entries {
@@ -97,8 +101,8 @@
 	return nil
 }
 
-// rebase takes over the newest checkpoint after which all entries are held,
-// the first of them being first.
+// restore replaces the state with the newest checkpoint, or with that of a peer if
+// the checkpoint ends before first, the oldest offset that the log still holds.
 func (follower *follower) rebase(ctx context.Context, first uint64) error {
 	newest, err := follower.newestCheckpoint(ctx)
 	if err != nil {
@@ -108,16 +112,18 @@
 		if follower.takeFromPeer(ctx) {
 			return nil
 		}
-		return errors.Newf("no checkpoint reaches offset %d and no peer has newer state", first)
+		return errors.Newf("no checkpoint reaches offset %d and no peer has a newer state", first)
 	}
 	replaced, err := follower.hub.replace(newest)
 	if err != nil {
-		return errors.Wrap(err, "checkpoint")
+		return errors.Wrap(err, "restore checkpoint")
 	}
-	follower.logger.Info("state taken from a checkpoint", "next_offset", newest.GetNextOffset(), "replaced", replaced)
+	follower.logger.Info("state restored from a checkpoint", "next_offset", newest.GetNextOffset(), "replaced", replaced)
 	return nil
 }
 
+// newestCheckpoint reads the whole stream of checkpoints. It returns nil if there is
+// no complete checkpoint.
 func (follower *follower) newestCheckpoint(ctx context.Context) (*wire.State, error) {
 	reader := newCheckpointReader()
 	next := uint64(0)
@@ -128,7 +134,7 @@
 			continue
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "checkpoints")
+			return nil, errors.Wrap(err, "read checkpoints")
 		}
 		for _, entry := range page.Entries {
 			reader.add(entry)
@@ -140,12 +146,13 @@
 	}
 }
 
-// takeFromPeer takes the state of the first peer that is ahead.
+// restoreFromPeer replaces the state with that of the first peer whose state is
+// newer, and reports whether there was one.
 func (follower *follower) takeFromPeer(ctx context.Context) bool {
 	for _, address := range follower.peers() {
 		encoded, err := follower.ask(ctx, address)
 		if err != nil {
-			follower.logger.Debug("peer has no state for us", "peer", address, "error", err)
+			follower.logger.Debug("failed to fetch the state of a peer", "peer", address, "error", err)
 			continue
 		}
 		replaced, err := follower.hub.replace(encoded)
@@ -153,22 +160,22 @@
 			continue
 		}
 		follower.ready.Store(true)
-		follower.logger.Info("state taken from a peer", "peer", address, "next_offset", encoded.GetNextOffset())
+		follower.logger.Info("state restored from a peer", "peer", address, "next_offset", encoded.GetNextOffset())
 		return true
 	}
 	return false
 }
 
-// ask returns the whole state of the keeper at address.
+// fetchState returns the full state of the keeper at address.
 func (follower *follower) ask(ctx context.Context, address string) (*wire.State, error) {
-	asking, cancel := context.WithTimeout(ctx, peerTimeout)
+	fetchCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	peer, err := link.Dial(asking, address, follower.credentials, follower.options)
+	peer, err := link.Dial(fetchCtx, address, follower.credentials, follower.options)
 	if err != nil {
 		return nil, err
 	}
 	defer peer.Close()
-	stop := context.AfterFunc(asking, peer.Close)
+	stop := context.AfterFunc(fetchCtx, peer.Close)
 	defer stop()
 	err = peer.Send(&wire.ClientFrame{Body: &wire.ClientFrame_Subscribe{Subscribe: &wire.Subscribe{}}})
 	if err != nil {
@@ -186,7 +193,7 @@
 	}
 }
 
-// asExpired returns the error if it says that entries have expired.
+// asExpired reports whether err is an infra.ExpiredError, and returns it as one.
 func asExpired(err error) (*infra.ExpiredError, bool) {
 	var expired *infra.ExpiredError
 	ok := errors.As(err, &expired)
--- a/internal/keeper/hub.go
+++ b/internal/keeper/hub.go
@@ -7,29 +7,31 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Bounds of the hub.
+// Limits of the hub.
 const (
-	// recentEntries is how many entries are kept for subscribers that were
-	// away for a short time.
+	// recentEntries is the minimum number of log entries kept, once that many were
+	// read, for subscribers that reconnect after a short time.
 	recentEntries = 4096
-	// subscriberFrames is how many frames a subscriber may be behind.
+	// subscriberFrames is how many frames a subscriber may lag behind before it is
+	// dropped.
 	subscriberFrames = 1024
 )
 
-// hub applies log entries to the replica and hands them to subscribers, so
-// that each sees every entry after its state exactly once.
+// hub applies log entries to the replica and broadcasts them to subscribers, each
+// of which receives every log entry after its own state exactly once.
 type hub struct {
 	replica *replica.Replica
 
 	mu sync.Mutex
-	// recent has the entries just before the replica's next, in order.
+	// recent has the log entries that directly precede the replica's next offset, in
+	// order.
 	recent      []*wire.Committed
 	fleet       *wire.Fleet
 	loads       *wire.Loads
 	subscribers map[*subscriber]struct{}
 }
 
-// subscriber gets frames until its channel is closed.
+// subscriber receives frames until its channel is closed.
 type subscriber struct {
 	frames chan *wire.ServerFrame
 }
@@ -43,7 +45,7 @@
 	}
 }
 
-// commit applies an entry that was read from the log.
+// commit applies a log entry and broadcasts it.
 func (hub *hub) commit(committed *wire.Committed) error {
 	hub.mu.Lock()
 	defer hub.mu.Unlock()
@@ -59,7 +61,8 @@
 	return nil
 }
 
-// replace takes over a state from a checkpoint or a peer if it is ahead.
+// replace adopts and broadcasts a state from a checkpoint or a peer if it is newer
+// than the replica's, and reports whether it was.
 func (hub *hub) replace(encoded *wire.State) (bool, error) {
 	hub.mu.Lock()
 	defer hub.mu.Unlock()
@@ -86,7 +89,8 @@
 	hub.publish(&wire.ServerFrame{Body: &wire.ServerFrame_Loads{Loads: loads}})
 }
 
-// subscribe adds a subscriber that has the state up to next.
+// subscribe adds a subscriber whose next offset is next, and queues the frames that
+// bring it up to date.
 func (hub *hub) subscribe(next uint64) *subscriber {
 	hub.mu.Lock()
 	defer hub.mu.Unlock()
@@ -103,14 +107,14 @@
 	return subscriber
 }
 
-// backlog returns what leads from next to the state of the replica: the
-// entries between if they are at hand, and otherwise the whole state, which a
-// subscriber that has nothing always gets.
+// backlog returns the frames that bring a subscriber from offset next to the state
+// of the replica: the log entries in between if all are in recent, otherwise the
+// full state. A subscriber whose next offset is zero always gets the full state.
 func (hub *hub) backlog(next uint64) []*wire.ServerFrame {
-	have := hub.replica.Next()
+	current := hub.replica.Next()
 	switch {
-	case next >= have:
-		return nil // nothing, or the subscriber is ahead
+	case next >= current:
+		return nil // the subscriber is up to date or ahead
 	case next > 0 && len(hub.recent) > 0 && hub.recent[0].GetOffset() <= next:
 		missed := hub.recent[next-hub.recent[0].GetOffset():]
 		frames := make([]*wire.ServerFrame, 0, len(missed))
@@ -129,8 +133,8 @@
 	hub.drop(subscriber)
 }
 
-// publish hands a frame to all, and drops those that are too far behind; they
-// subscribe again and get what they lack.
+// publish broadcasts a frame and drops subscribers whose queue is full. They
+// subscribe again and receive what they missed.
 func (hub *hub) publish(frame *wire.ServerFrame) {
 	for subscriber := range hub.subscribers {
 		select {
@@ -141,6 +145,7 @@
 	}
 }
 
+// drop removes the subscriber and closes its channel, unless that was done before.
 func (hub *hub) drop(subscriber *subscriber) {
 	if _, ok := hub.subscribers[subscriber]; !ok {
 		return
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,6 +1,8 @@
-// Package keeper follows the platform's log and VM list for the processes of
-// its VM: it folds the state, appends records in batches, writes checkpoints,
-// and serves all this to entries and to keepers that join.
+// Package keeper implements the process that follows the platform's append-only
+// log and VM list on behalf of the other processes of its VM. It maintains a
+// replica of the state that the log's records describe, appends records in
+// batches, writes checkpoints, and polls the load of model engines. Subscribers
+// are entry processes, which serve callers, and keepers that start up.
 package keeper
 
 import (
@@ -24,11 +26,12 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// heartbeatInterval is the longest silence towards a subscriber.
+	// heartbeatInterval is the maximum time between two frames to a subscriber.
 	heartbeatInterval = 250 * time.Millisecond
 )
 
-// Platform is what a keeper uses of the platform and of the engines.
+// Platform has the external services that a keeper uses: those of the platform,
+// and the model engines.
 type Platform struct {
 	Log         infra.Log
 	Checkpoints infra.Log
@@ -36,7 +39,7 @@
 	Engines     backend.Engine
 }
 
-// Keeper is one keeper process.
+// Keeper is a keeper process.
 type Keeper struct {
 	settings Settings
 	logger   *slog.Logger
@@ -50,8 +53,8 @@
 	listener *link.Listener
 }
 
-// New returns a keeper that listens but does not yet serve.
-func New(settings Settings, uses Platform, logger *slog.Logger) (*Keeper, error) {
+// New returns a keeper that listens for subscribers. Run serves them.
+func New(settings Settings, platform Platform, logger *slog.Logger) (*Keeper, error) {
 	credentials, err := link.NewCredentials(settings.Secret)
 	if err != nil {
 		return nil, err
@@ -72,18 +75,18 @@
 		hub:      newHub(replica),
 		listener: listener,
 	}
-	keeper.appender = newAppender(uses.Log, replica, settings.Log, metrics, logger)
+	keeper.appender = newAppender(platform.Log, replica, settings.Log, metrics, logger)
 	keeper.watch = &watch{
-		vmlist:   uses.VMList,
-		engines:  uses.Engines,
+		vmlist:   platform.VMList,
+		engines:  platform.Engines,
 		hub:      keeper.hub,
 		settings: settings.Intervals,
 		metrics:  metrics,
 		logger:   logger,
 	}
 	keeper.follower = &follower{
-		log:         uses.Log,
-		checkpoints: uses.Checkpoints,
+		log:         platform.Log,
+		checkpoints: platform.Checkpoints,
 		hub:         keeper.hub,
 		peers:       keeper.peers,
 		credentials: credentials,
@@ -96,7 +99,7 @@
 		settings:    settings,
 		replica:     replica,
 		appender:    keeper.appender,
-		checkpoints: uses.Checkpoints,
+		checkpoints: platform.Checkpoints,
 		vms:         keeper.vms,
 		metrics:     metrics,
 		logger:      logger,
@@ -104,7 +107,8 @@
 	return keeper, nil
 }
 
-// Run serves until ctx is done.
+// Run runs the keeper until ctx is done, or until listening fails, and returns that
+// error.
 func (keeper *Keeper) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, run := range []func(context.Context){
@@ -122,11 +126,11 @@
 	}
 	group.Go(func() error { return keeper.listener.Serve(ctx, keeper.serve) })
 	group.Go(func() error { return keeper.serveHTTP(ctx) })
-	keeper.logger.Info("keeper serves", "vm", keeper.settings.VM, "address", keeper.listener.Address())
+	keeper.logger.Info("keeper started", "vm", keeper.settings.VM, "address", keeper.listener.Address())
 	return group.Wait()
 }
 
-// vms returns the live VMs of the system, this one among them.
+// vms returns the names of the system's VMs that do not drain, including this one.
 func (keeper *Keeper) vms() []string {
 	names := []string{keeper.settings.VM}
 	for _, server := range keeper.watch.servers(infra.KindSystem) {
@@ -137,7 +141,8 @@
 	return names
 }
 
-// peers returns the addresses of other keepers, listed ones first.
+// peers returns the addresses of other keepers: those in the VM list, then the
+// configured ones.
 func (keeper *Keeper) peers() []string {
 	var addresses []string
 	for _, server := range keeper.watch.servers(infra.KindSystem) {
@@ -148,7 +153,7 @@
 	return append(addresses, keeper.settings.Peers...)
 }
 
-// serve serves one subscriber.
+// serve sends frames to one subscriber until its link ends or it is dropped.
 func (keeper *Keeper) serve(_ context.Context, peer *link.Peer) {
 	first := &wire.ClientFrame{}
 	err := peer.Receive(first)
@@ -160,7 +165,7 @@
 	defer keeper.hub.unsubscribe(subscriber)
 	keeper.metrics.subscribers.Inc()
 	defer keeper.metrics.subscribers.Dec()
-	keeper.logger.Info("subscriber joined", "node", name, "next_offset", first.GetSubscribe().GetNextOffset())
+	keeper.logger.Info("subscriber connected", "node", name, "next_offset", first.GetSubscribe().GetNextOffset())
 	go keeper.receive(peer, name)
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -172,25 +177,26 @@
 		case <-heartbeat.C:
 		}
 		if !open {
-			keeper.logger.Warn("subscriber was too slow", "node", name)
+			keeper.logger.Warn("subscriber is too slow; closing its link", "node", name)
 			return
 		}
 		heartbeat.Reset(heartbeatInterval)
 		err = peer.Send(keeper.withReady(frame))
 		if err != nil {
-			keeper.logger.Info("subscriber left", "node", name, "error", err)
+			keeper.logger.Info("subscriber disconnected", "node", name, "error", err)
 			return
 		}
 	}
 }
 
-// withReady returns the frame, which other subscribers share, with the keeper's
-// readiness.
+// withReady returns a copy of the frame with the keeper's readiness set. Subscribers
+// share the frame itself.
 func (keeper *Keeper) withReady(frame *wire.ServerFrame) *wire.ServerFrame {
 	return &wire.ServerFrame{Body: frame.GetBody(), Ready: keeper.follower.ready.Load()}
 }
 
-// receive takes proposals until the link ends, and then ends it here too.
+// receive queues the proposals of a subscriber until receiving fails, and then closes
+// the link.
 func (keeper *Keeper) receive(peer *link.Peer, name string) {
 	defer peer.Close()
 	for {
@@ -203,13 +209,13 @@
 			err = keeper.appender.propose(record)
 		}
 		if err != nil {
-			// The proposer tries again until its time is over.
+			// The subscriber retries the proposal until its own deadline.
 			keeper.logger.Warn("proposal dropped", "node", name, "error", err)
 		}
 	}
 }
 
-// Handler returns the HTTP interface for health and metrics.
+// Handler returns the HTTP handler for health checks and metrics.
 func (keeper *Keeper) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", func(http.ResponseWriter, *http.Request) {})
@@ -234,5 +240,5 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errors.Wrap(err, "keeper")
+	return errors.Wrap(err, "keeper: serve HTTP")
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -35,7 +35,7 @@
 	return count
 }
 
-// bench is the parts of a keeper that need no network, on fake logs.
+// fixture has the parts of a keeper that need no network, with fake logs.
 type bench struct {
 	log         *fakeLog
 	checkpoints *fakeLog
@@ -69,18 +69,18 @@
 	}
 }
 
-func (bench *bench) queued() int {
-	bench.appender.mu.Lock()
-	defer bench.appender.mu.Unlock()
-	return len(bench.appender.queued)
+func (fixture *bench) queued() int {
+	fixture.appender.mu.Lock()
+	defer fixture.appender.mu.Unlock()
+	return len(fixture.appender.queued)
 }
 
-// run runs the parts until the returned function is called.
-func (bench *bench) run() func() {
+// run runs the parts until the returned function is called, which waits for them.
+func (fixture *bench) run() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for _, run := range []func(context.Context){
-		bench.follower.run, bench.appender.run, bench.duties.run, bench.duties.runCheckpoints,
+		fixture.follower.run, fixture.appender.run, fixture.duties.run, fixture.duties.runCheckpoints,
 	} {
 		all.Go(func() { run(ctx) })
 	}
@@ -90,76 +90,79 @@
 	}
 }
 
-func TestAppenderSettles(t *testing.T) {
+// Each record must be applied exactly once, although it is proposed twice and appends
+// fail or take effect with an error, and with few appends to the log.
+func TestAppenderAppendsOnce(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(log *fakeLog)
-		later   func(log *fakeLog)
-		// appends is how many there may be at most.
-		appends int
+		restore func(log *fakeLog)
+		// maxAppends is the maximum number of appends to the log.
+		maxAppends int
 	}{
-		"in one batch":           {appends: 2},
-		"after a lost answer":    {prepare: func(log *fakeLog) { log.loseAnswers = 1 }, appends: 2},
-		"after a short outage":   {prepare: func(log *fakeLog) { log.down = true }, later: func(log *fakeLog) { log.setDown(false) }, appends: 12},
-		"after two lost answers": {prepare: func(log *fakeLog) { log.loseAnswers = 2 }, appends: 3},
+		"appended as one batch":    {maxAppends: 2},
+		"after one lost response":  {prepare: func(log *fakeLog) { log.loseAnswers = 1 }, maxAppends: 2},
+		"after a short outage":     {prepare: func(log *fakeLog) { log.down = true }, restore: func(log *fakeLog) { log.setDown(false) }, maxAppends: 12},
+		"after two lost responses": {prepare: func(log *fakeLog) { log.loseAnswers = 2 }, maxAppends: 3},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bench := newBench("vm1", newFakeLog(), newFakeLog())
+				fixture := newBench("vm1", newFakeLog(), newFakeLog())
 				if c.prepare != nil {
-					c.prepare(bench.log)
+					c.prepare(fixture.log)
 				}
-				stop := bench.run()
+				stop := fixture.run()
 				defer stop()
 				for i := range 10 {
-					assert.NilError(t, bench.appender.propose(record(i)))
-					assert.NilError(t, bench.appender.propose(record(i)))
+					assert.NilError(t, fixture.appender.propose(record(i)))
+					assert.NilError(t, fixture.appender.propose(record(i)))
 				}
 				time.Sleep(2 * time.Second)
-				if c.later != nil {
-					c.later(bench.log)
+				if c.restore != nil {
+					c.restore(fixture.log)
 				}
 				time.Sleep(2 * time.Second)
-				assert.Equal(t, sessions(bench.hub.replica), 10)
-				assert.Assert(t, bench.log.count() <= c.appends, "%d appends", bench.log.count())
-				assert.Equal(t, bench.queued(), 0)
+				assert.Equal(t, sessions(fixture.hub.replica), 10)
+				assert.Assert(t, fixture.log.count() <= c.maxAppends, "%d appends", fixture.log.count())
+				assert.Equal(t, fixture.queued(), 0)
 			})
 		})
 	}
 }
 
-func TestAppenderGivesUp(t *testing.T) {
+// A record must not be retried beyond its deadline while the log is unavailable.
+func TestAppenderStopsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench("vm1", newFakeLog(), newFakeLog())
-		bench.log.setDown(true)
-		stop := bench.run()
+		fixture := newBench("vm1", newFakeLog(), newFakeLog())
+		fixture.log.setDown(true)
+		stop := fixture.run()
 		defer stop()
-		assert.NilError(t, bench.appender.propose(record(1)))
+		assert.NilError(t, fixture.appender.propose(record(1)))
 		time.Sleep(time.Minute)
-		assert.Equal(t, bench.queued(), 0)
+		assert.Equal(t, fixture.queued(), 0)
 	})
 }
 
-// The first keeper writes a checkpoint when it is due, and the second only
-// when the first does not.
+// One checkpoint is written per interval, whether both keepers are live or only
+// one. A keeper of lower rank writes it only if the one of higher rank does not.
 func TestCheckpointBeforeExpiry(t *testing.T) {
 	cases := map[string]struct {
 		vms []string
 	}{
-		"both live":      {vms: []string{"vm1", "vm2"}},
-		"only the first": {vms: []string{"vm1"}},
-		"only a backup":  {vms: []string{"vm2"}},
+		"both keepers live":           {vms: []string{"vm1", "vm2"}},
+		"only the first keeper live":  {vms: []string{"vm1"}},
+		"only the second keeper live": {vms: []string{"vm2"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log, checkpoints := newFakeLog(), newFakeLog()
 				for _, vm := range c.vms {
-					bench := newBench(vm, log, checkpoints)
+					fixture := newBench(vm, log, checkpoints)
 					if vm == c.vms[0] {
-						assert.NilError(t, bench.appender.propose(record(1)))
+						assert.NilError(t, fixture.appender.propose(record(1)))
 					}
-					stop := bench.run()
+					stop := fixture.run()
 					defer stop()
 				}
 				interval := DefaultSettings().Log.CheckpointInterval
@@ -170,6 +173,8 @@
 	}
 }
 
+// A keeper that starts after the beginning of the log has expired must reach the same
+// state as others, from a checkpoint and the log entries after it.
 func TestFollowerStartsAtCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, checkpoints := newFakeLog(), newFakeLog()
@@ -194,8 +199,8 @@
 	})
 }
 
-// A keeper must not call itself ready on what is left of a log whose beginning
-// has expired without a checkpoint.
+// A keeper must not become ready if the beginning of the log has expired and there
+// is no checkpoint: it would have only part of the state.
 func TestFollowerNotReadyWithoutBase(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -205,19 +210,19 @@
 			assert.NilError(t, log.Append(t.Context(), data))
 		}
 		log.expire(2)
-		bench := newBench("vm1", log, newFakeLog())
-		defer bench.run()()
+		fixture := newBench("vm1", log, newFakeLog())
+		defer fixture.run()()
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, !bench.follower.ready.Load())
-		assert.Equal(t, sessions(bench.hub.replica), 0)
+		assert.Assert(t, !fixture.follower.ready.Load())
+		assert.Equal(t, sessions(fixture.hub.replica), 0)
 	})
 }
 
-// TestLogThatCameBackShorter has a log that lost its last entries, and gives their offsets out again. A keeper that
-// folded them went on at its offset: it called itself ready, and folded what came behind without what stands before, as
-// no other keeper does that starts then.
-func TestLogThatCameBackShorter(t *testing.T) {
-	for name, grows := range map[string]int{"and stays so": 0, "and grows beyond what it was": 6} {
+// A log that loses its last entries reuses their offsets for new ones. A keeper that had applied the lost entries must
+// neither stay ready nor apply later entries: it would skip the new entries below its offset, and so diverge from
+// keepers that start afterwards.
+func TestFollowerStopsWhenLogIsTruncated(t *testing.T) {
+	for name, appended := range map[string]int{"log stays shorter": 0, "log grows beyond its old length": 6} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newFakeLog()
@@ -229,24 +234,26 @@
 				for number := range 5 {
 					add(number)
 				}
-				bench := newBench("vm1", log, newFakeLog())
-				defer bench.run()()
+				fixture := newBench("vm1", log, newFakeLog())
+				defer fixture.run()()
 				time.Sleep(2 * time.Second)
-				assert.Assert(t, bench.follower.ready.Load())
-				assert.Equal(t, sessions(bench.hub.replica), 5)
+				assert.Assert(t, fixture.follower.ready.Load())
+				assert.Equal(t, sessions(fixture.hub.replica), 5)
 				log.shorten(3)
 				time.Sleep(2 * time.Second)
-				for number := range grows {
+				for number := range appended {
 					add(100 + number)
 				}
 				time.Sleep(5 * time.Second)
-				assert.Assert(t, !bench.follower.ready.Load())
-				assert.Equal(t, sessions(bench.hub.replica), 5)
+				assert.Assert(t, !fixture.follower.ready.Load())
+				assert.Equal(t, sessions(fixture.hub.replica), 5)
 			})
 		})
 	}
 }
 
+// A large checkpoint is split into parts. Duplicate parts, which a retry after a lost
+// response causes, must be ignored.
 func TestCheckpointInParts(t *testing.T) {
 	large := &wire.State{NextOffset: 7}
 	for i := range 20_000 {
@@ -257,19 +264,19 @@
 	assert.Assert(t, len(entries) > 1)
 	reader := newCheckpointReader()
 	for i, entry := range entries {
-		whole := reader.add(infra.Entry{Data: entry})
-		assert.Equal(t, whole, i == len(entries)-1)
-		// A part that came twice after a lost answer changes nothing.
+		complete := reader.add(infra.Entry{Data: entry})
+		assert.Equal(t, complete, i == len(entries)-1)
 		assert.Assert(t, !reader.add(infra.Entry{Data: entries[0]}))
 	}
 	assert.Assert(t, proto.Equal(reader.newest, large))
 }
 
+// noVMs is a VM list that is unavailable.
 type noVMs struct{}
 
 func (noVMs) List(context.Context) ([]infra.VM, error) { return nil, errDown }
 
-// freePort returns an address that nobody listens on.
+// freePort returns an address with a TCP port that is not in use.
 func freePort(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -278,7 +285,7 @@
 	return listener.Addr().String()
 }
 
-// startKeeper runs a whole keeper until the test ends.
+// startKeeper runs a complete keeper until the test ends.
 func startKeeper(t *testing.T, vm string, log *fakeLog, peers ...string) *Keeper {
 	t.Helper()
 	settings := DefaultSettings()
@@ -301,7 +308,9 @@
 	return keeper
 }
 
-func TestKeeperJoinsWhileLogIsDown(t *testing.T) {
+// A keeper that starts while the log is unavailable must become ready with the state
+// of a peer.
+func TestKeeperStartsWhileLogIsUnavailable(t *testing.T) {
 	log := newFakeLog()
 	first := startKeeper(t, "vm1", log)
 	assert.NilError(t, first.appender.propose(record(1)))
@@ -309,7 +318,7 @@
 		if sessions(first.hub.replica) == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("not read back yet")
+		return poll.Continue("record not read back yet")
 	})
 	log.setDown(true)
 	second := startKeeper(t, "vm2", log, first.listener.Address())
@@ -317,22 +326,24 @@
 		if second.follower.ready.Load() {
 			return poll.Success()
 		}
-		return poll.Continue("not ready yet")
+		return poll.Continue("second keeper not ready yet")
 	})
 	assert.Assert(t, proto.Equal(second.hub.replica.Encode(), first.hub.replica.Encode()))
 }
 
-// An entry that took an empty state from a keeper without a base called itself
-// ready, and refused every organisation as unknown.
-func TestNotReadyIsTold(t *testing.T) {
+// Subscribers must learn whether the keeper is ready. An entry process that took the
+// empty state of a keeper that could not restore its state would become ready too, and
+// reject every organisation as unknown.
+func TestSubscribersReceiveReadiness(t *testing.T) {
 	cases := map[string]struct {
 		expired uint64
-		// frames is how many to wait for; heartbeats alone make four a second.
+		// frames is the maximum number of frames to receive. Heartbeats alone are four
+		// per second.
 		frames int
 		ready  bool
 	}{
-		"with the whole log":                {frames: 1000, ready: true},
-		"without its beginning or any base": {frames: 10, expired: 1},
+		"complete log":                         {frames: 1000, ready: true},
+		"expired beginning without checkpoint": {frames: 10, expired: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/keeper/metrics.go
+++ b/internal/keeper/metrics.go
@@ -7,7 +7,7 @@
 
 const metricsNamespace = "mastwinch_keeper"
 
-// metrics are those of a keeper.
+// metrics are the Prometheus metrics of a keeper.
 type metrics struct {
 	appends       prometheus.Counter
 	appendErrors  prometheus.Counter
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watcher.go
@@ -17,14 +17,14 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Bounds on asking engines for their load.
+// Limits on polling engines for their load.
 const (
 	loadTimeout  = time.Second
 	loadParallel = 16
 )
 
-// watch follows the VM list and the load of engines into the hub. When either
-// cannot be read, subscribers keep what was read last.
+// watcher polls the VM list and the load of engines and publishes both through the
+// hub. While either cannot be read, subscribers keep the last values.
 type watch struct {
 	vmlist   infra.VMList
 	engines  backend.Engine
@@ -33,50 +33,53 @@
 	metrics  *metrics
 	logger   *slog.Logger
 
+	// fleet is the VM list as last read, or nil.
 	fleet atomic.Pointer[wire.Fleet]
 }
 
-// servers returns the servers of that kind that were listed last.
-func (watch *watch) servers(kind string) []*wire.Server {
-	var found []*wire.Server
-	for _, server := range watch.fleet.Load().GetServers() {
+// servers returns the servers of that kind in the VM list as last read.
+func (watcher *watch) servers(kind string) []*wire.Server {
+	var matching []*wire.Server
+	for _, server := range watcher.fleet.Load().GetServers() {
 		if server.GetKind() == kind {
-			found = append(found, server)
+			matching = append(matching, server)
 		}
 	}
-	return found
+	return matching
 }
 
-// runFleet follows the VM list until ctx is done.
-func (watch *watch) runFleet(ctx context.Context) {
+// runFleet polls the VM list until ctx is done.
+func (watcher *watch) runFleet(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := watch.readFleet(ctx)
+		err := watcher.readFleet(ctx)
 		if err != nil && ctx.Err() == nil {
-			watch.metrics.vmListUp.Set(0)
-			watch.logger.Warn("VM list cannot be read, the last one stays", "error", err)
+			watcher.metrics.vmListUp.Set(0)
+			watcher.logger.Warn("failed to read the VM list; keeping the last one", "error", err)
 		}
-		wait.For(ctx, watch.settings.VMList)
+		wait.For(ctx, watcher.settings.VMList)
 	}
 }
 
-func (watch *watch) readFleet(ctx context.Context) error {
-	reading, cancel := context.WithTimeout(ctx, readTimeout)
+// readFleet reads the VM list once and publishes it if it has changed.
+func (watcher *watch) readFleet(ctx context.Context) error {
+	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	vms, err := watch.vmlist.List(reading)
+	vms, err := watcher.vmlist.List(readCtx)
 	if err != nil {
 		return err
 	}
-	watch.metrics.vmListUp.Set(1)
+	watcher.metrics.vmListUp.Set(1)
 	fleet := newFleet(vms)
-	if proto.Equal(fleet, watch.fleet.Load()) {
+	if proto.Equal(fleet, watcher.fleet.Load()) {
 		return nil
 	}
-	watch.fleet.Store(fleet)
-	watch.hub.setFleet(fleet)
-	watch.logger.Info("VM list changed", "vms", len(vms))
+	watcher.fleet.Store(fleet)
+	watcher.hub.setFleet(fleet)
+	watcher.logger.Info("VM list changed", "vms", len(vms))
 	return nil
 }
 
+// newFleet returns the wire form of the VM list, by ID.
 func newFleet(vms []infra.VM) *wire.Fleet {
 	fleet := &wire.Fleet{Servers: make([]*wire.Server, 0, len(vms))}
 	for _, vm := range vms {
@@ -96,27 +99,28 @@
 	return fleet
 }
 
-// runLoads asks engines for their load until ctx is done.
-func (watch *watch) runLoads(ctx context.Context) {
+// runLoads polls the load of engines until ctx is done.
+func (watcher *watch) runLoads(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
-		watch.hub.setLoads(watch.readLoads(ctx))
-		wait.For(ctx, watch.settings.Load-time.Since(started))
+		watcher.hub.setLoads(watcher.readLoads(ctx))
+		wait.For(ctx, watcher.settings.Load-time.Since(started))
 	}
 }
 
-func (watch *watch) readLoads(ctx context.Context) *wire.Loads {
+// readLoads returns the loads of all engines that report theirs in time.
+func (watcher *watch) readLoads(ctx context.Context) *wire.Loads {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	loads := &wire.Loads{}
 	slots := make(chan struct{}, loadParallel)
-	for _, server := range watch.servers(infra.KindEngine) {
+	for _, server := range watcher.servers(infra.KindEngine) {
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
-			asking, cancel := context.WithTimeout(ctx, loadTimeout)
+			loadCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 			defer cancel()
-			load, err := watch.engines.Load(asking, server.GetAddress())
+			load, err := watcher.engines.Load(loadCtx, server.GetAddress())
 			if err != nil {
 				return
 			}
@@ -141,7 +145,7 @@
 	}
 }
 
-// count takes a number from an engine that must not be negative.
+// count converts a number reported by an engine, where a negative one counts as zero.
 func count(value int) uint64 {
 	return uint64(max(0, value))
 }
