--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -1,6 +1,8 @@
-// Package keeperclient keeps an entry's replica and fleet up to date from a
-// keeper, and proposes records through it. When the keeper dies it turns to
-// another; until one answers, the entry goes on with what it has.
+// Package keeperclient connects an entry process, which serves callers, to a
+// keeper, the process that follows the platform's log. It keeps the entry
+// process's replica of the state and its fleet of servers up to date, and proposes
+// records to be appended to the log. When the connection fails it connects to
+// another keeper; without one, the entry process continues with its last state.
 package keeperclient
 
 import (
@@ -19,31 +21,31 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Waits of the client.
+// Delays and timeouts of the client.
 const (
 	reconnectWait = 100 * time.Millisecond
 	dialTimeout   = 2 * time.Second
-	// silenceLimit is how long a keeper may send nothing. Heartbeats come
-	// several times in it, so a longer silence means that it is gone.
+	// receiveTimeout is how long the client waits for a frame before it drops the
+	// connection. Keepers send several heartbeats within it.
 	silenceLimit = time.Second
-	// proposeAgain is how long a verdict is waited for before the record is
-	// proposed again, perhaps through another keeper.
+	// proposeRetryInterval is how long the client waits for the verdict before it
+	// proposes the record again, possibly through another keeper.
 	proposeAgain = time.Second
 )
 
-// ErrUnsettled says that no verdict came in time. The record may still be
-// accepted later.
-var ErrUnsettled = errors.New("no verdict from the log in time")
+// ErrUnsettled is returned when no verdict on a record was read back in time. The
+// record may still be accepted later.
+var ErrUnsettled = errors.New("record was not read back from the log in time")
 
-// Sink takes what the keeper reads of the VM list and of the engines.
+// Sink receives the VM list and the loads of engines that the keeper publishes.
 type Sink interface {
 	SetFleet(fleet *wire.Fleet)
 	SetLoads(loads *wire.Loads)
-	// KeeperAddresses returns the keepers that the fleet names.
+	// KeeperAddresses returns the addresses of the keepers in the VM list.
 	KeeperAddresses() []string
 }
 
-// Client is an entry's connection to a keeper.
+// Client maintains the connection of an entry process to a keeper.
 type Client struct {
 	node        string
 	addresses   []string
@@ -53,18 +55,18 @@
 	sink        Sink
 	logger      *slog.Logger
 
-	// ready says that some keeper had the state to give. It stays so.
+	// ready is set once a keeper reported that it is ready, and never reset.
 	ready atomic.Bool
 
 	mu sync.Mutex
 	// peer is nil while there is no connection.
 	peer *link.Peer
-	// connected is closed, and replaced, when there is a new connection.
+	// connected is closed, and replaced, when a connection is established.
 	connected chan struct{}
 }
 
-// New returns a client of the keepers at addresses, the preferred one first,
-// for the process called node.
+// New returns a client of the keepers at addresses, in order of preference, for the
+// process called node. It connects when Run is called.
 func New(
 	node string, addresses []string, credentials link.Credentials, options link.Options,
 	replica *replica.Replica, sink Sink, logger *slog.Logger,
@@ -81,7 +83,7 @@
 	}
 }
 
-// Run keeps a connection until ctx is done.
+// Run connects to a keeper, and reconnects after failures, until ctx is done.
 func (client *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, address := range client.candidates() {
@@ -89,36 +91,38 @@
 			if ctx.Err() != nil {
 				return
 			}
-			client.logger.Warn("keeper lost, turning to another", "keeper", address, "error", err)
+			client.logger.Warn("connection to keeper failed; trying the next one", "keeper", address, "error", err)
 		}
 		wait.For(ctx, reconnectWait)
 	}
 }
 
-// Connected reports whether there is a connection.
+// Connected reports whether a keeper is connected.
 func (client *Client) Connected() bool {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.peer != nil
 }
 
-// Ready reports whether the replica has a state to decide by.
+// Ready reports whether the replica has received the state of a keeper that was
+// ready.
 func (client *Client) Ready() bool {
 	return client.ready.Load()
 }
 
-// Propose puts a record on the log and returns the verdict that was read
-// back. It returns ErrUnsettled when ctx ends first.
+// Propose proposes a record to the keeper until it is read back from the log, and
+// returns the verdict, which says whether the record was accepted. It returns
+// ErrUnsettled when ctx is done first.
 func (client *Client) Propose(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
-	verdict, stop := client.replica.Await(record.GetId())
+	verdicts, stop := client.replica.Await(record.GetId())
 	defer stop()
 	for {
 		connected := client.send(record)
 		timer := time.NewTimer(proposeAgain)
 		select {
-		case settled := <-verdict:
+		case verdict := <-verdicts:
 			timer.Stop()
-			return settled, nil
+			return verdict, nil
 		case <-ctx.Done():
 			timer.Stop()
 			return fold.Verdict{}, ErrUnsettled
@@ -129,8 +133,8 @@
 	}
 }
 
-// send proposes the record if there is a connection, and returns a channel
-// that is closed when there is a new one.
+// send sends the record if a keeper is connected, and returns a channel that is
+// closed when the next connection is established.
 func (client *Client) send(record *wire.Record) <-chan struct{} {
 	client.mu.Lock()
 	peer, connected := client.peer, client.connected
@@ -145,7 +149,8 @@
 	return connected
 }
 
-// candidates returns the configured keepers and then those of the fleet.
+// candidates returns the addresses of the configured keepers, then of those in the
+// VM list, without duplicates.
 func (client *Client) candidates() []string {
 	seen := make(map[string]struct{})
 	var candidates []string
@@ -160,11 +165,12 @@
 	return candidates
 }
 
-// follow takes frames from one keeper until the connection ends.
+// follow subscribes to one keeper and handles its frames until the connection
+// fails. It returns the error.
 func (client *Client) follow(ctx context.Context, address string) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	peer, err := link.Dial(dialing, address, client.credentials, client.options)
+	peer, err := link.Dial(dialCtx, address, client.credentials, client.options)
 	if err != nil {
 		return err
 	}
@@ -178,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	client.logger.Info("keeper connected", "keeper", address, "next_offset", client.replica.Next())
+	client.logger.Info("connected to keeper", "keeper", address, "next_offset", client.replica.Next())
 	client.setPeer(peer)
 	defer client.setPeer(nil)
 	for {
@@ -197,13 +203,14 @@
 	}
 }
 
+// handleFrame applies a frame to the replica or passes it to the sink.
 func (client *Client) take(frame *wire.ServerFrame) error {
 	switch body := frame.GetBody().(type) {
 	case *wire.ServerFrame_State:
 		_, err := client.replica.Replace(body.State)
 		return err
 	case *wire.ServerFrame_Committed:
-		// Entries that this replica is ahead of change nothing.
+		// The replica ignores log entries that it has applied already.
 		return client.replica.Apply(body.Committed.GetOffset(), body.Committed.GetBatch())
 	case *wire.ServerFrame_Fleet:
 		client.sink.SetFleet(body.Fleet)
@@ -213,6 +220,7 @@
 	return nil
 }
 
+// setPeer sets the current connection, or nil if there is none.
 func (client *Client) setPeer(peer *link.Peer) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -25,7 +25,8 @@
 func (sink) SetLoads(*wire.Loads)      {}
 func (sink) KeeperAddresses() []string { return nil }
 
-// serve runs a keeper that does what handle does, and returns its address.
+// serve runs a keeper that handles each connection with handle, and returns its
+// address.
 func serve(t *testing.T, handle func(context.Context, *link.Peer)) string {
 	t.Helper()
 	credentials, err := link.NewCredentials(secret)
@@ -45,13 +46,13 @@
 	return listener.Address()
 }
 
-// silent takes everything and sends nothing, as a keeper that is paused.
+// silent receives frames and sends none, as a suspended keeper does.
 func silent(_ context.Context, peer *link.Peer) {
 	for peer.Receive(&wire.ClientFrame{}) == nil {
 	}
 }
 
-// committing commits each proposal at once.
+// committing sends each proposal back as committed at once.
 func committing(_ context.Context, peer *link.Peer) {
 	offset := uint64(0)
 	for {
@@ -96,15 +97,17 @@
 	}}
 }
 
-// A keeper that was killed or paused sends nothing more, and nothing says so.
-// Waiting for the link's idle time made proposals wait for five seconds.
-func TestProposeTurnsFromSilentKeeper(t *testing.T) {
+// A keeper that is killed or suspended stops sending without closing the connection.
+// The client must switch to another keeper after its own timeout: the idle timeout of
+// the link would delay proposals by five seconds.
+func TestProposeSwitchesFromUnresponsiveKeeper(t *testing.T) {
 	client, ctx := newClient(t, serve(t, silent), serve(t, committing))
 	verdict, err := client.Propose(ctx, createSession())
 	assert.NilError(t, err)
 	assert.Assert(t, verdict.Accepted)
 }
 
+// Propose must return ErrUnsettled at its deadline if the keeper does not commit.
 func TestProposeUnsettledWithoutKeeper(t *testing.T) {
 	client, ctx := newClient(t, serve(t, silent))
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
@@ -113,7 +116,8 @@
 	assert.ErrorIs(t, err, keeperclient.ErrUnsettled)
 }
 
-func TestOtherSecretIsRefused(t *testing.T) {
+// A process with another secret must not be able to exchange frames with a keeper.
+func TestOtherSecretIsRejected(t *testing.T) {
 	credentials, err := link.NewCredentials("another secret of the tests")
 	assert.NilError(t, err)
 	address := serve(t, committing)
@@ -121,7 +125,8 @@
 	defer cancel()
 	peer, err := link.Dial(ctx, address, credentials, link.Options{PlainDatagrams: true})
 	if err == nil {
-		// TLS 1.3 lets the client finish first; the refusal comes after.
+		// In TLS 1.3 the client completes the handshake before the server rejects its
+		// certificate.
 		defer peer.Close()
 		err = peer.Receive(&wire.ServerFrame{})
 	}
