--- a/internal/ledger/attempt.go
+++ b/internal/ledger/attempt.go
@@ -7,23 +7,27 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Attempt is the one submission of a key that was granted the right to be
-// dispatched, and how it ended. It is immutable.
+// Attempt is the request that was granted a key, and so may be dispatched, with its
+// outcome. It is immutable.
 type Attempt struct {
 	Key       Key
 	RequestID string
-	// Owner is the incarnation of the entry that holds the right. No other
-	// ever gets it for this attempt.
+	// Owner is the run of the entry process (one start of it) that may dispatch the
+	// attempt. It never changes.
 	Owner string
 	// Version changes with each accepted record about the attempt. While
 	// Outcome is unspecified it is the fencing token of the dispatch.
-	Version       fold.Version
-	Time          time.Duration
+	Version fold.Version
+	// Time is the time limit that the caller set for the request.
+	Time time.Duration
+	// ContentDigest is a hash of the request. A key is refused for other content.
 	ContentDigest uint64
 	// Outcome is unspecified while the attempt may still be running.
 	Outcome wire.Outcome
-	Reason  string
-	Server  string
+	// Reason explains an outcome other than completed.
+	Reason string
+	// Server is the ID of the backend server that ran the request.
+	Server string
 }
 
 // Running reports whether the attempt has no outcome yet.
@@ -31,13 +35,14 @@
 	return attempt.Outcome == wire.Outcome_OUTCOME_UNSPECIFIED
 }
 
-// Released reports whether the key may be granted again, because it is
-// certain that nothing ran.
+// Retryable reports whether the key may be granted to another request, because it
+// is certain that nothing ran.
 func (attempt Attempt) Released() bool {
 	return attempt.Outcome == wire.Outcome_OUTCOME_FAILED_NOT_RUN
 }
 
-// WithOutcome returns the attempt as it ended by finish at version.
+// WithOutcome returns a copy of the attempt with the outcome of finish, which was
+// accepted as version.
 func (attempt Attempt) WithOutcome(finish *wire.Finish, version fold.Version) Attempt {
 	attempt.Outcome = finish.GetOutcome()
 	attempt.Reason = finish.GetReason()
@@ -46,7 +51,7 @@
 	return attempt
 }
 
-// Wire returns the attempt as it stands in a checkpoint.
+// Wire returns the attempt as it is encoded in a checkpoint.
 func (attempt Attempt) Wire() *wire.Attempt {
 	return &wire.Attempt{
 		Key:           attempt.Key.Wire(),
--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -10,19 +10,20 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// uuidVersion is the version of UUIDs that carry their time (RFC 9562).
+// uuidVersion is the version of UUIDs that contain their creation time (RFC 9562).
 const uuidVersion = 7
 
-// Key names a request that may run at most once within an organisation.
+// Key is the idempotency key of a request, which may run at most once within an
+// organisation.
 type Key struct {
 	Organisation string
 	// Value is a UUID of version 7 in canonical form.
 	Value string
-	// Time is when the caller made the key, in milliseconds since 1970.
+	// Time is when the caller created the key, in milliseconds since 1970.
 	Time uint64
 }
 
-// KeyError says that a key is not usable.
+// KeyError is returned for a key that is not valid.
 type KeyError struct {
 	Value   string
 	Problem string
@@ -33,7 +34,8 @@
 	return fmt.Sprintf("key %q: %s", e.Value, e.Problem)
 }
 
-// NewKey parses value, which must be a UUID of version 7.
+// NewKey parses value, which must be a UUID of version 7. Otherwise it returns a
+// *KeyError.
 func NewKey(organisation, value string) (Key, error) {
 	id, err := uuid.Parse(value)
 	if err != nil {
@@ -54,10 +56,10 @@
 	}, nil
 }
 
-// CheckTime refuses a key whose time is too far ahead of now to be covered.
+// CheckTime returns a *KeyError if the key's time is more than maxAhead after now.
 func (key Key) CheckTime(now time.Time, maxAhead time.Duration) error {
-	made := time.UnixMilli(int64(key.Time)) //nolint:gosec // 48 bits
-	if made.After(now.Add(maxAhead)) {
+	created := time.UnixMilli(int64(key.Time)) //nolint:gosec // 48 bits
+	if created.After(now.Add(maxAhead)) {
 		return &KeyError{
 			Value:   key.Value,
 			Problem: fmt.Sprintf("its time is more than %s ahead", maxAhead),
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// Wire returns the key as it stands in records.
+// Wire returns the key as it is encoded in records.
 func (key Key) Wire() *wire.Key {
 	return &wire.Key{Organisation: key.Organisation, Value: key.Value}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -8,14 +8,15 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Ledger holds the attempts of all keys in the covered window. It is used by
-// one goroutine at a time.
+// Ledger has the attempts of all keys that are not older than the horizon. It must
+// not be used concurrently.
 type Ledger struct {
-	// attempts has no key whose time is before horizon.
+	// attempts has the current attempt of each key. No key's time is before horizon.
 	attempts map[Key]Attempt
-	// byRequest has the key of each attempt.
+	// byRequest has the key of each attempt, by request ID.
 	byRequest map[string]Key
-	// horizon never decreases; it is in milliseconds since 1970.
+	// horizon is the oldest key time that is kept, in milliseconds since 1970. It
+	// never decreases.
 	horizon uint64
 }
 
@@ -27,13 +28,13 @@
 	}
 }
 
-// Get returns the attempt of key.
+// Get returns the current attempt of key, if there is one.
 func (ledger *Ledger) Get(key Key) (Attempt, bool) {
 	attempt, ok := ledger.attempts[key]
 	return attempt, ok
 }
 
-// OfRequest returns the attempt that the request with that ID made.
+// GetByRequest returns the attempt of the request with that ID, if there is one.
 func (ledger *Ledger) OfRequest(requestID string) (Attempt, bool) {
 	key, ok := ledger.byRequest[requestID]
 	if !ok {
@@ -42,18 +43,17 @@
 	return ledger.Get(key)
 }
 
-// Horizon returns the oldest key time that is covered, in milliseconds since
-// 1970.
+// Horizon returns the oldest key time that is kept, in milliseconds since 1970.
 func (ledger *Ledger) Horizon() uint64 {
 	return ledger.horizon
 }
 
-// Len returns the number of keys held.
+// Len returns the number of keys.
 func (ledger *Ledger) Len() int {
 	return len(ledger.attempts)
 }
 
-// Running returns the attempts without an outcome, in no order.
+// Running returns the attempts without an outcome, in no particular order.
 func (ledger *Ledger) Running() []Attempt {
 	var running []Attempt
 	for _, attempt := range ledger.attempts {
@@ -64,7 +64,8 @@
 	return running
 }
 
-// Begin grants the key to the request of begin, or refuses it.
+// Begin grants the key to the request of begin, or refuses it if the key is
+// malformed, expired or already granted.
 func (ledger *Ledger) Begin(version fold.Version, begin *wire.Begin) fold.Verdict {
 	key, err := NewKey(begin.GetKey().GetOrganisation(), begin.GetKey().GetValue())
 	if err != nil {
@@ -76,7 +77,7 @@
 	current, exists := ledger.attempts[key]
 	switch {
 	case exists && current.RequestID == begin.GetRequestId() && current.Running():
-		return fold.Accept(current.Version) // a repeat
+		return fold.Accept(current.Version) // a duplicate of the granted record
 	case exists && current.ContentDigest != begin.GetContentDigest():
 		return fold.Refuse(fold.ReasonContentDiffers)
 	case exists && !current.Released():
@@ -95,8 +96,8 @@
 	return fold.Accept(version)
 }
 
-// Finish settles the attempt of finish. A settled attempt stays as it is, but
-// for one that may have run and later proves to have completed.
+// Finish records the outcome of an attempt. An outcome is final, except that
+// "failed, may have run" may be replaced once by "completed".
 func (ledger *Ledger) Finish(version fold.Version, finish *wire.Finish) fold.Verdict {
 	key, err := NewKey(finish.GetKey().GetOrganisation(), finish.GetKey().GetValue())
 	if err != nil || finish.GetOutcome() == wire.Outcome_OUTCOME_UNSPECIFIED {
@@ -113,17 +114,20 @@
 	return fold.Accept(version)
 }
 
+// put sets the current attempt of its key.
 func (ledger *Ledger) put(attempt Attempt) {
 	ledger.attempts[attempt.Key] = attempt
 	ledger.byRequest[attempt.RequestID] = attempt.Key
 }
 
+// confirmsCompletion reports whether finish completes an attempt that may have run.
 func provesCompletion(current Attempt, finish *wire.Finish) bool {
 	return current.Outcome == wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN &&
 		finish.GetOutcome() == wire.Outcome_OUTCOME_COMPLETED
 }
 
-// AdvanceHorizon drops the keys made before the time of advance.
+// AdvanceHorizon drops the keys created before the time of advance. It refuses to
+// move the horizon back.
 func (ledger *Ledger) AdvanceHorizon(version fold.Version, advance *wire.AdvanceHorizon) fold.Verdict {
 	if advance.GetKeyTimeMs() <= ledger.horizon {
 		return fold.Refuse(fold.ReasonStale)
@@ -138,7 +142,8 @@
 	return fold.Accept(version)
 }
 
-// Encode writes the ledger into state, in a fixed order.
+// Encode writes the ledger into state, sorted by key, so that equal ledgers have
+// equal encodings.
 func (ledger *Ledger) Encode(state *wire.State) {
 	state.HorizonMs = ledger.horizon
 	state.Attempts = make([]*wire.Attempt, 0, len(ledger.attempts))
@@ -153,7 +158,8 @@
 	})
 }
 
-// Decode returns the ledger that Encode wrote into state.
+// Decode returns the ledger that Encode wrote into state. It returns a *KeyError if
+// a key is malformed.
 func Decode(state *wire.State) (*Ledger, error) {
 	ledger := New()
 	ledger.horizon = state.GetHorizonMs()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 
 const organisation = "register"
 
-// keyAt returns a key made at that time, in milliseconds since 1970.
+// keyAt returns a key created at that time, in milliseconds since 1970.
 func keyAt(milliseconds uint64) *wire.Key {
 	id := uuid.Must(uuid.NewV7())
 	var encoded [8]byte
@@ -38,19 +38,21 @@
 	return &wire.Finish{Key: key, RequestId: requestID, Outcome: outcome}
 }
 
+// A key must be granted to one request at a time, and never again once the request may
+// have run, in whichever order late and duplicate records arrive.
 func TestLedgerVerdicts(t *testing.T) {
 	key := keyAt(1000)
-	// Each case is a list of steps; step i is the record with version i+1.
+	// A case is a list of records; the one at index i has version i+1.
 	type step struct {
 		record any
 		want   fold.Verdict
 	}
 	cases := map[string][]step{
-		"the first begin is granted, the second is not": {
+		"only the first begin is granted": {
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{begin(key, "r2", 0), fold.Refuse(fold.ReasonConflict)},
 		},
-		"a repeat of the granted begin grants nothing new": {
+		"a duplicate of the granted begin returns the same version": {
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{begin(key, "r1", 0), fold.Accept(1)},
 		},
@@ -59,7 +61,7 @@
 			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Accept(2)},
 			{begin(key, "r1", 0), fold.Refuse(fold.ReasonConflict)},
 		},
-		"a key that was not run can be granted again to who saw that": {
+		"a key whose request did not run is granted again at the expected version": {
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Accept(2)},
 			{begin(key, "r2", 1), fold.Refuse(fold.ReasonConflict)},
@@ -70,7 +72,7 @@
 			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), fold.Accept(2)},
 			{begin(key, "r2", 2), fold.Refuse(fold.ReasonConflict)},
 		},
-		"an outcome that may have run can still prove completed, not the other way": {
+		"an outcome of may have run can only become completed, which is final": {
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), fold.Accept(2)},
 			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Refuse(fold.ReasonStale)},
@@ -81,7 +83,7 @@
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{finish(key, "r2", wire.Outcome_OUTCOME_COMPLETED), fold.Refuse(fold.ReasonNotFound)},
 		},
-		"a key older than the horizon is refused, also after it was forgotten": {
+		"a key older than the horizon is refused after it was dropped": {
 			{begin(key, "r1", 0), fold.Accept(1)},
 			{&wire.AdvanceHorizon{KeyTimeMs: 1001}, fold.Accept(2)},
 			{begin(key, "r1", 0), fold.Refuse(fold.ReasonKeyExpired)},
@@ -111,6 +113,8 @@
 	}
 }
 
+// Keys that contain no creation time, or one too far in the future, must be rejected:
+// they could not be expired by their time.
 func TestNewKey(t *testing.T) {
 	valid := keyAt(1234567)
 	cases := map[string]struct {
