--- a/internal/link/credentials.go
+++ b/internal/link/credentials.go
@@ -16,20 +16,22 @@
 )
 
 const (
-	protocolName  = "mastwinch/1"
-	keyInfo       = "mastwinch link key"
-	serverName    = "mastwinch"
+	protocolName = "mastwinch/1"
+	keyInfo      = "mastwinch link key"
+	serverName   = "mastwinch"
+	// Validity of the certificate, relative to its creation.
 	certificateIn = -24 * time.Hour
 	certificateTo = 10 * 365 * 24 * time.Hour
 )
 
-// Credentials prove to the other end that a process belongs to the system.
+// Credentials authenticate a process as part of the system.
 type Credentials struct {
 	certificate tls.Certificate
 	public      ed25519.PublicKey
 }
 
-// NewCredentials derives the key pair that all processes with secret share.
+// NewCredentials derives from secret the key pair that all processes with that
+// secret share.
 func NewCredentials(secret string) (Credentials, error) {
 	seed, err := hkdf.Key(sha256.New, []byte(secret), nil, keyInfo, ed25519.SeedSize)
 	if err != nil {
@@ -38,7 +40,7 @@
 	private := ed25519.NewKeyFromSeed(seed)
 	public, ok := private.Public().(ed25519.PublicKey)
 	if !ok {
-		return Credentials{}, errors.AssertionFailedf("ed25519 key of another kind")
+		return Credentials{}, errors.AssertionFailedf("public key of an ed25519 private key has another type")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -57,8 +59,8 @@
 	}, nil
 }
 
-// config returns settings under which each end accepts only the shared key.
-// Certificates are checked by that key alone, since VMs' clocks differ.
+// config returns a TLS configuration with which each end accepts only the shared
+// key. The validity period of certificates is not checked, since VMs' clocks differ.
 func (credentials Credentials) config() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -71,13 +73,14 @@
 	}
 }
 
+// verify returns an error unless the peer's certificate has the shared key.
 func (credentials Credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("link: no certificate")
+		return errors.New("link: peer sent no certificate")
 	}
 	public, ok := state.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok || !bytes.Equal(public, credentials.public) {
-		return errors.New("link: the other end has another secret")
+		return errors.New("link: peer has a different secret")
 	}
 	return nil
 }
--- a/internal/link/doc.go
+++ b/internal/link/doc.go
@@ -1,4 +1,4 @@
-// Package link carries frames between the system's own processes over QUIC:
-// one connection and one stream for each pair, encrypted, both ends proven by
-// a secret that all processes share.
+// Package link exchanges protobuf messages, called frames, between the system's own
+// processes over QUIC. Each link is one encrypted connection with one stream. Both
+// ends authenticate each other by a secret that all processes share.
 package link
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -8,14 +8,14 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Listener takes links from other processes.
+// Listener accepts links from other processes.
 type Listener struct {
 	transport *quic.Transport
 	socket    *net.UDPConn
 	listener  *quic.Listener
 }
 
-// Listen listens on address, over UDP.
+// Listen listens on the UDP address. Links are accepted when Serve is called.
 func Listen(address string, credentials Credentials, options Options) (*Listener, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -34,13 +34,15 @@
 	return &Listener{transport: transport, socket: socket, listener: listener}, nil
 }
 
-// Address returns the address listened on.
+// Address returns the local address, with the port that was assigned if the
+// requested one was 0.
 func (listener *Listener) Address() string {
 	return listener.socket.LocalAddr().String()
 }
 
-// Serve calls handle in a goroutine of its own for each link, until ctx is
-// done. The link is closed when handle returns.
+// Serve accepts links until ctx is done, and calls handle for each in a goroutine of
+// its own. A link is closed when handle returns or ctx is done. Serve closes the
+// listener when it returns.
 func (listener *Listener) Serve(ctx context.Context, handle func(context.Context, *Peer)) error {
 	defer listener.close()
 	for {
@@ -55,10 +57,11 @@
 	}
 }
 
+// serve waits for the link's stream and calls handle.
 func (listener *Listener) serve(ctx context.Context, conn *quic.Conn, handle func(context.Context, *Peer)) {
-	opening, cancel := context.WithTimeout(ctx, handshakeTimeout)
+	acceptCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	stream, err := conn.AcceptStream(opening)
+	stream, err := conn.AcceptStream(acceptCtx)
 	if err != nil {
 		_ = conn.CloseWithError(0, "no stream")
 		return
--- a/internal/link/peer.go
+++ b/internal/link/peer.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds on a link.
+// Limits of a link.
 const (
 	maxFrameBytes    = 64 << 20
 	sendTimeout      = 5 * time.Second
@@ -22,22 +22,23 @@
 	keepAlive        = time.Second
 )
 
-// Options say how datagrams are sent.
+// Options configure how UDP datagrams are sent.
 type Options struct {
-	// PlainDatagrams avoids segmentation offload, ECN and path MTU probing.
+	// PlainDatagrams disables segmentation offload, ECN and path MTU discovery.
 	PlainDatagrams bool
 }
 
-// Peer is the other end of a link.
+// Peer is the remote end of a link. Send may be called concurrently, also with one
+// call of Receive or ReceiveWithin at a time.
 type Peer struct {
 	conn   *quic.Conn
 	stream *quic.Stream
 	reader *bufio.Reader
 
-	// mu makes frames whole on the stream.
+	// mu guards writer, so that frames are not interleaved.
 	mu     sync.Mutex
 	writer *bufio.Writer
-	// closeSocket ends what only this link uses.
+	// closeSocket closes the socket if it belongs to this link alone.
 	closeSocket func()
 }
 
@@ -51,7 +52,8 @@
 	}
 }
 
-// Send writes one frame. It fails if the other end does not read.
+// Send writes one frame. It fails if the remote end does not read within
+// sendTimeout.
 func (peer *Peer) Send(message proto.Message) error {
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
@@ -66,28 +68,29 @@
 	return errors.Wrap(peer.writer.Flush(), "link: send")
 }
 
-// ReceiveWithin is Receive, but fails if no frame comes in that time.
-func (peer *Peer) ReceiveWithin(limit time.Duration, message proto.Message) error {
-	err := peer.stream.SetReadDeadline(time.Now().Add(limit))
+// ReceiveWithin is like Receive, but fails if no whole frame arrives within timeout.
+func (peer *Peer) ReceiveWithin(timeout time.Duration, message proto.Message) error {
+	err := peer.stream.SetReadDeadline(time.Now().Add(timeout))
 	if err != nil {
 		return errors.Wrap(err, "link: receive")
 	}
 	return peer.Receive(message)
 }
 
-// Receive reads the next frame into message.
+// Receive reads the next frame into message. It blocks until a frame arrives or the
+// link ends.
 func (peer *Peer) Receive(message proto.Message) error {
 	options := protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}
 	return errors.Wrap(options.UnmarshalFrom(peer.reader, message), "link: receive")
 }
 
-// Close ends the link.
+// Close closes the link, which ends pending calls of Send and Receive with an error.
 func (peer *Peer) Close() {
 	_ = peer.conn.CloseWithError(0, "")
 	peer.closeSocket()
 }
 
-// Dial opens a link to address.
+// Dial opens a link to the UDP address.
 func Dial(ctx context.Context, address string, credentials Credentials, options Options) (*Peer, error) {
 	remote, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -115,6 +118,7 @@
 	return newPeer(conn, stream, closeSocket), nil
 }
 
+// config returns the QUIC configuration of both ends.
 func (options Options) config() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:    handshakeTimeout,
@@ -124,7 +128,8 @@
 	}
 }
 
-// wrap hides what a UDP socket can do beyond plain datagrams.
+// wrap returns the socket, without the methods that quic-go uses for segmentation
+// offload and ECN if PlainDatagrams is set.
 func (options Options) wrap(socket *net.UDPConn) net.PacketConn {
 	if !options.PlainDatagrams {
 		return socket
@@ -132,8 +137,8 @@
 	return plainConn{PacketConn: socket, socket: socket}
 }
 
-// plainConn has the methods of net.PacketConn only, and those that size its
-// buffers.
+// plainConn has only the methods of net.PacketConn and those that set the buffer
+// sizes.
 type plainConn struct {
 	net.PacketConn
 
