--- a/internal/relay/buffer.go
+++ b/internal/relay/buffer.go
@@ -1,5 +1,6 @@
-// Package relay holds the answers that an entry passes on: whole from their
-// start, so that a caller who was cut off can go on anywhere in them.
+// Package relay buffers the responses that an entry process relays from backend
+// servers to callers. A response is buffered from its start, so that a caller whose
+// connection was lost can resume after any token.
 package relay
 
 import (
@@ -12,17 +13,18 @@
 	"github.com/mastwinch/mastwinch/internal/request"
 )
 
-// Token is one token of an answer, and where it came from.
+// Token is one token of a response, with the attempt and server that it came from.
 type Token struct {
-	// Seq counts from zero without gaps.
+	// Seq is the index of the token in the response, starting at 0.
 	Seq  int
 	Text string
-	// Attempt and Server let another entry find the stream.
+	// Attempt and Server let another entry process find the stream.
 	Attempt int
 	Server  string
 }
 
-// Position names a token so that another entry can resume after it.
+// Position identifies a token, so that another entry process can resume the response
+// after it.
 type Position struct {
 	Seq     int
 	Attempt int
@@ -34,12 +36,13 @@
 	return Position{Seq: token.Seq, Attempt: token.Attempt, Server: token.Server}
 }
 
-// String returns the position as it stands in event IDs.
+// String returns the position as an event ID.
 func (position Position) String() string {
 	return fmt.Sprintf("%d~%d~%s", position.Seq, position.Attempt, position.Server)
 }
 
-// ParsePosition parses an event ID.
+// ParsePosition parses an event ID. It returns a *request.FieldError if the event ID
+// is not valid.
 func ParsePosition(text string) (Position, error) {
 	parts := strings.SplitN(text, "~", 3)
 	if len(parts) == 3 {
@@ -55,26 +58,31 @@
 	}
 }
 
-// Buffer is the answer to one request as far as it has come.
+// Buffer holds the part of the response to one request that has been received. It is
+// safe for concurrent use.
 type Buffer struct {
-	// Base is the number of the first token held; the ones before are lost.
+	// Base is the index of the first token in the buffer. Earlier tokens are not
+	// available.
 	Base int
 
 	mu sync.Mutex
-	// tokens has consecutive numbers, the first of which is Base.
+	// tokens has consecutive indexes, starting at Base.
 	tokens []Token
-	// started says that a backend server took the request.
+	// started is set when a backend server has accepted the request.
 	started bool
 	// outcome is nil until the request has ended, and then does not change.
-	outcome  *request.Outcome
-	ended    time.Time
-	readers  int
+	outcome *request.Outcome
+	// endedAt is when the request ended.
+	ended   time.Time
+	readers int
+	// detachedAt is when the last reader detached, or when the buffer was created.
 	detached time.Time
-	// changed is closed, and replaced, when any of the above changes.
+	// changed is closed, and replaced, when there are new tokens or started or outcome
+	// changes.
 	changed chan struct{}
 }
 
-// NewBuffer returns a buffer whose first token will be base.
+// NewBuffer returns an empty buffer whose first token will have the index base.
 func NewBuffer(base int, now time.Time) *Buffer {
 	return &Buffer{
 		Base:     base,
@@ -83,7 +91,7 @@
 	}
 }
 
-// Start notes that a backend server took the request.
+// MarkStarted records that a backend server has accepted the request.
 func (buffer *Buffer) Start() {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
@@ -91,8 +99,8 @@
 	buffer.signal()
 }
 
-// Add adds the token if it is the next one, and reports whether it was. Any
-// other is late or doubled.
+// Add adds the token if it is the next one and the request has not ended, and
+// reports whether it did. Other tokens are late or duplicates.
 func (buffer *Buffer) Add(token Token) bool {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
@@ -104,7 +112,7 @@
 	return true
 }
 
-// End settles the answer. Only the first call counts.
+// End records the outcome of the request. Calls after the first have no effect.
 func (buffer *Buffer) End(outcome request.Outcome, now time.Time) {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
@@ -116,25 +124,25 @@
 	buffer.signal()
 }
 
-// Next returns the number of the next token.
+// Next returns the index of the next token.
 func (buffer *Buffer) Next() int {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
 	return buffer.Base + len(buffer.tokens)
 }
 
-// View is what a buffer holds from some token on.
+// View is the content of a buffer from some token on.
 type View struct {
 	Tokens []Token
-	// Started says that a backend server took the request.
+	// Started is set when a backend server has accepted the request.
 	Started bool
 	// Outcome is nil until the request has ended.
 	Outcome *request.Outcome
-	// Changed is closed when there is more.
+	// Changed is closed when the buffer has changed since the view was made.
 	Changed <-chan struct{}
 }
 
-// From returns what there is from token from on.
+// ViewFrom returns the content from the token with index from on.
 func (buffer *Buffer) From(from int) View {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
@@ -147,7 +155,8 @@
 	}
 }
 
-// Attach counts a reader, until the returned function is called.
+// Attach adds a reader until the returned function is called. Calling that function
+// again has no effect.
 func (buffer *Buffer) Attach(now func() time.Time) func() {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
@@ -160,20 +169,21 @@
 	})
 }
 
-// Unread reports whether nobody has read the answer since before.
-func (buffer *Buffer) Unread(before time.Time) bool {
+// UnreadSince reports whether there has been no reader since that time.
+func (buffer *Buffer) Unread(since time.Time) bool {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.readers == 0 && buffer.detached.Before(before)
+	return buffer.readers == 0 && buffer.detached.Before(since)
 }
 
-// EndedBefore reports whether the request ended before that time.
-func (buffer *Buffer) EndedBefore(before time.Time) bool {
+// EndedBefore reports whether the request has ended, and did so before that time.
+func (buffer *Buffer) EndedBefore(limit time.Time) bool {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.outcome != nil && buffer.ended.Before(before)
+	return buffer.outcome != nil && buffer.ended.Before(limit)
 }
 
+// notifyChanged closes and replaces the channel of changes. mu must be held.
 func (buffer *Buffer) signal() {
 	close(buffer.changed)
 	buffer.changed = make(chan struct{})
