--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica holds a copy of the state for use by many goroutines, and
-// lets them wait for the verdict on a record.
+// Package replica holds a copy of the state that the records of the platform's log
+// describe. It is safe for concurrent use, and lets goroutines wait for the verdict
+// on a record, which says whether the record was accepted.
 package replica
 
 import (
@@ -10,17 +11,17 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Replica is a copy of the state that only moves forward.
+// Replica is a copy of the state. The offset of its next log entry never decreases.
 type Replica struct {
 	mu    sync.RWMutex
 	state *state.State
-	// waiters has who waits for the verdict on a record, by its ID.
+	// waiters has the channels that receive the verdict on a record, by record ID.
 	waiters map[string][]chan fold.Verdict
-	// moved is closed, and replaced, when the state moves.
+	// changed is closed, and replaced, when the state changes.
 	moved chan struct{}
 }
 
-// New returns a replica of the empty state.
+// New returns a replica of the empty state, before the first log entry.
 func New() *Replica {
 	return &Replica{
 		state:   state.New(),
@@ -29,7 +30,9 @@
 	}
 }
 
-// Apply folds the entry at offset and tells those who wait for its records.
+// Apply applies the log entry at offset and sends the verdicts on its records to
+// those who wait for them. An entry that was already applied is ignored; one that is
+// not the next is a *state.OrderError.
 func (replica *Replica) Apply(offset uint64, batch *wire.Batch) error {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -47,8 +50,9 @@
 	return nil
 }
 
-// Replace takes over an encoded state if it is ahead, and reports whether it
-// was. Verdicts on the records between are not told: who waits asks again.
+// Replace adopts an encoded state if its next offset is higher, and reports whether
+// it was. Verdicts on the records in between are not sent: those who wait must
+// propose their records again.
 func (replica *Replica) Replace(encoded *wire.State) (bool, error) {
 	decoded, err := state.Decode(encoded)
 	if err != nil {
@@ -64,14 +68,15 @@
 	return true, nil
 }
 
-// View calls read with the state, which read must neither change nor keep.
+// View calls read with the state. read must not modify the state, retain it, or call
+// methods of the replica.
 func (replica *Replica) View(read func(*state.State)) {
 	replica.mu.RLock()
 	defer replica.mu.RUnlock()
 	read(replica.state)
 }
 
-// Next returns the offset of the next entry to apply.
+// Next returns the offset of the next log entry to apply.
 func (replica *Replica) Next() uint64 {
 	replica.mu.RLock()
 	defer replica.mu.RUnlock()
@@ -85,15 +90,15 @@
 	return replica.state.Encode()
 }
 
-// Moved returns a channel that is closed when the state has moved.
+// Changed returns a channel that is closed at the next change of the state.
 func (replica *Replica) Moved() <-chan struct{} {
 	replica.mu.RLock()
 	defer replica.mu.RUnlock()
 	return replica.moved
 }
 
-// Await returns a channel that gets the verdict on the record when it is next
-// read, and a function that ends the wait.
+// Await returns a channel that receives the verdict on the record when the record is
+// next applied, and a function that ends the wait, which must be called.
 func (replica *Replica) Await(recordID string) (<-chan fold.Verdict, func()) {
 	waiter := make(chan fold.Verdict, 1)
 	replica.mu.Lock()
@@ -102,6 +107,7 @@
 	return waiter, func() { replica.forget(recordID, waiter) }
 }
 
+// removeWaiter removes one waiter for the verdict on a record.
 func (replica *Replica) forget(recordID string, waiter chan fold.Verdict) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -118,6 +124,7 @@
 	replica.waiters[recordID] = others
 }
 
+// notifyChanged closes and replaces the channel of changes. mu must be held.
 func (replica *Replica) signal() {
 	close(replica.moved)
 	replica.moved = make(chan struct{})
