--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,29 +1,32 @@
-// Package directory has the backend servers as the platform lists them.
+// Package directory describes the backend servers in the platform's server list.
 package directory
 
 import "time"
 
 // Entry is one backend server in the list. It is immutable.
 type Entry struct {
-	// ID is unique to one start of the server: what is known under it is known of that start.
+	// ID is unique to one start of the server, so that data kept under it applies to that start alone.
 	ID string
-	// Started is when it started, or zero where that is not told. Of two starts under one key of the list
-	// the later one is there.
+	// Started is when the server started, or zero if it is not advertised. Of two starts under one key of the list,
+	// the later one is the current one.
 	Started time.Time
+	// Service is the name of the service that the server offers.
 	Service string
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address    string
 	DataCentre string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Leaving says that nothing new may go there.
+	// Draining is set when the server must not receive new requests.
 	Leaving bool
-	// ColdLeft is for how much longer it was cold when that was written, or zero. A cold server bears few requests.
+	// ColdRemaining is the time for which the server was still cold when the entry was written, or zero. A cold server
+	// can handle only few requests.
 	ColdLeft time.Duration
 }
 
-// Newer reports whether an entry is of a later moment than another one of its key: of a later start, or of the same one
-// that leaves, which it never takes back. Of entries that tell no start none is newer.
+// Newer reports whether the entry is newer than another one of its key: it is of a later start, or of the same start
+// and draining where the other is not, since a server never stops draining. If either entry has no start time, neither
+// is newer.
 func (entry Entry) Newer(other Entry) bool {
 	if entry.Started.IsZero() || other.Started.IsZero() {
 		return false
