--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// groupFill is the part of an engine's memory that a group uses, in percent;
-// the rest stays for others.
+// groupMemoryPercent is the maximum percentage of an engine's memory that one request
+// may use; the rest remains for other requests.
 const groupFill = 90
 
 const percent = 100
 
-// groupFor returns enough of the servers to hold a request that no single one
-// can, by ID: those first that have the memory free, and of them those first
-// that are given to long prompts. All entries reserve in the order of IDs, so
-// that groups that gather at once cannot wait for each other in a circle.
+// chooseGroup returns enough servers to hold a request that does not fit a single one.
+// It prefers servers with enough free memory, then those with the lowest LongRank. The
+// group is sorted by ID: all entry processes reserve memory in the order of IDs, so
+// that concurrent reservations cannot deadlock.
 func groupFor(servers []Server, request Request) Decision {
 	smallest := slices.MinFunc(servers, func(a, b Server) int { return cmp.Compare(a.Memory, b.Memory) })
-	most := max(1, smallest.Memory*groupFill/percent)
-	size := (request.Need() + most - 1) / most
+	maxShare := max(1, smallest.Memory*groupFill/percent)
+	size := (request.Need() + maxShare - 1) / maxShare
 	if size > len(servers) {
-		return refuse(RefusalTooLong, fmt.Sprintf("%d tokens need %d engines of %d", request.Need(), size, len(servers)))
+		return refuse(RefusalTooLong, fmt.Sprintf("%d tokens need %d engines, %d are eligible", request.Need(), size, len(servers)))
 	}
 	share := (request.Need() + size - 1) / size
 	candidates := slices.SortedFunc(slices.Values(servers), func(a, b Server) int {
@@ -40,7 +40,8 @@
 	}
 }
 
-// fitsOne reports whether any server's memory can hold the request.
+// fitsSingleServer reports whether the memory of at least one server, used up to
+// groupMemoryPercent, can hold the request.
 func fitsOne(servers []Server, request Request) bool {
 	return slices.ContainsFunc(servers, func(server Server) bool {
 		return server.Memory*groupFill/percent >= request.Need()
--- a/internal/routing/leastoutstanding.go
+++ b/internal/routing/leastoutstanding.go
@@ -4,8 +4,8 @@
 
 var _ Policy = LeastOutstanding{}
 
-// LeastOutstanding takes the server with fewest requests of this entry. It is
-// a baseline.
+// LeastOutstanding chooses the server with the fewest requests in flight from this
+// entry process. It is a baseline for comparison.
 type LeastOutstanding struct{}
 
 // Decide implements Policy.
--- a/internal/routing/lengthaware.go
+++ b/internal/routing/lengthaware.go
@@ -7,30 +7,33 @@
 	"slices"
 )
 
-// LengthAwareSettings tune LengthAware.
+// LengthAwareSettings configure LengthAware.
 type LengthAwareSettings struct {
-	// LongTokens is the length from which on a prompt counts as long.
+	// LongTokens is the minimum length of a long prompt, in tokens. Shorter prompts are
+	// short.
 	LongTokens int `yaml:"long_tokens" validate:"min=1"`
-	// LongShare is the largest part of the engines that long prompts may
-	// use while each of them fits one engine.
+	// MaxLongFraction is the maximum fraction (0 to 1) of the engines that long prompts
+	// may use, except for prompts that need the memory of several engines.
 	LongShare float64 `yaml:"long_share" validate:"gt=0,max=1"`
-	// LongBacklog is the queued tokens of long prompts, for each engine that
-	// they use, above which they may use one more.
+	// LongBacklog is the number of queued tokens of long prompts, per engine that they
+	// use, above which they may use one more engine.
 	LongBacklog int `yaml:"long_backlog" validate:"min=1"`
-	// Choices is how many engines are compared for a short prompt.
+	// Choices is how many randomly sampled engines are compared for a short prompt.
 	Choices int `yaml:"choices" validate:"min=1,max=64"`
-	// QuietMargin is how many more engines short prompts avoid, so that they
-	// are done when the set for long prompts grows.
+	// LongSetMargin is how many engines, beyond those in use for long prompts, short
+	// prompts avoid, so that these engines have no short prompts left when the set for
+	// long prompts grows.
 	QuietMargin int `yaml:"quiet_margin" validate:"min=0"`
-	// StepTokens is how long a short prompt waits for the step in progress
-	// of an engine that computes long ones, in tokens of prompt.
+	// StepTokens is how long a short prompt waits for the step in progress of an engine
+	// that prefills long prompts, expressed in prompt tokens.
 	StepTokens int `yaml:"step_tokens" validate:"min=0"`
-	// PrefillTokensPerSecond is what an engine is taken to compute until its
-	// answers have shown it.
+	// PrefillTokensPerSecond is the assumed prefill rate of an engine until its rate has
+	// been measured, and the minimum assumed for an idle engine.
 	PrefillTokensPerSecond float64 `yaml:"prefill_tokens_per_second" validate:"gt=0"`
 }
 
-// DefaultLengthAwareSettings returns settings for the stand-ins' cost model.
+// DefaultLengthAwareSettings returns the defaults, which suit the cost model of the
+// simulated engines in internal/standin.
 func DefaultLengthAwareSettings() LengthAwareSettings {
 	return LengthAwareSettings{
 		LongTokens:             16 << 10,
@@ -43,22 +46,24 @@
 	}
 }
 
-// prefillPart is the part of the stated time within which the prompt must be
-// computed for a request to be taken on.
+// maxPrefillFraction is the fraction of a request's remaining time within which its
+// prefill must be expected to end for the request to be admitted.
 const prefillPart = 0.7
 
-// samplesPerChoice bounds how many engines are looked at for each choice.
+// samplesPerChoice limits how many engines are sampled for each choice, since sampled
+// engines may be ineligible.
 const samplesPerChoice = 8
 
 var _ Policy = LengthAware{}
 
-// LengthAware keeps long prompts to as few engines as their backlog needs, and
-// sends short ones to the best of a few of the others.
+// LengthAware restricts long prompts to as few engines as their backlog needs, and
+// sends short prompts to the least loaded of a few randomly sampled other engines, so
+// that they do not queue behind long ones.
 type LengthAware struct {
 	settings LengthAwareSettings
 }
 
-// NewLengthAware returns the policy.
+// NewLengthAware returns a policy with these settings, which must be valid.
 func NewLengthAware(settings LengthAwareSettings) LengthAware {
 	return LengthAware{settings: settings}
 }
@@ -84,22 +89,24 @@
 	}
 }
 
+// admitShort chooses the server for a short prompt, unless the prompt cannot be
+// prefilled in time.
 func (lengthaware LengthAware) chooseShort(best *Server, request *Request) Decision {
 	if !lengthaware.inTime(best, best.QueuedShort, request) {
-		return refuse(RefusalNoTime, fmt.Sprintf("%d short tokens are queued", best.QueuedShort))
+		return refuse(RefusalNoTime, fmt.Sprintf("%d tokens of short prompts are queued", best.QueuedShort))
 	}
 	if best.QueuedLong > 0 {
-		return choose(*best, "best of a few")
+		return choose(*best, "shortest wait among sampled engines")
 	}
-	return choose(*best, "best of a few without long work")
+	return choose(*best, "shortest wait among sampled engines without long prompts")
 }
 
-// short returns the best of a few engines that long prompts do not use, unless
-// one of all engines is better even so. It returns nil when it happened on none
-// that may be used and has the memory; then all are looked at.
+// sampleForShort returns the best of a few engines that long prompts do not use,
+// unless the best of a few among all engines is better. It returns nil if it sampled
+// no eligible engine with enough memory; the caller then considers all engines.
 func (lengthaware LengthAware) short(snapshot Snapshot, request *Request, random *rand.Rand) *Server {
-	firstQuiet := lengthaware.firstQuietRank(snapshot)
-	best := lengthaware.sample(snapshot, request, random, firstQuiet)
+	firstRank := lengthaware.firstQuietRank(snapshot)
+	best := lengthaware.sample(snapshot, request, random, firstRank)
 	if best == nil || lengthaware.waitForShort(best) > lengthaware.settings.StepTokens {
 		other := lengthaware.sample(snapshot, request, random, 0)
 		if best == nil || other != nil && lengthaware.compareForShort(other, best, request) < 0 {
@@ -112,9 +119,10 @@
 	return best
 }
 
-// sample returns the best of a few servers at random, of those from a rank on.
-// If the rank is above zero they have no long work. The best of all would draw
-// all entries to the same engine at once.
+// sample returns the best of a few random servers whose LongRank is at least rank,
+// or nil if it found none. If rank is above zero, servers with long prompts are
+// skipped too. Only a sample is compared because otherwise all entry processes would
+// choose the same engine at once.
 func (lengthaware LengthAware) sample(snapshot Snapshot, request *Request, random *rand.Rand, rank int) *Server {
 	var best *Server
 	found := 0
@@ -134,8 +142,8 @@
 	return best
 }
 
-// compareForShort puts an engine with memory for the request first, and then
-// the one that computes its first token sooner.
+// compareForShort orders engines with enough free memory for the request first, then
+// by the expected wait for the first token.
 func (lengthaware LengthAware) compareForShort(a, b *Server, request *Request) int {
 	if fits(a, request) != fits(b, request) {
 		return compareTrueFirst(fits(a, request), fits(b, request))
@@ -143,8 +151,8 @@
 	return cmp.Compare(lengthaware.waitForShort(a), lengthaware.waitForShort(b))
 }
 
-// waitForShort is what a short prompt waits for, in tokens of prompt. Engines
-// put it before long prompts, so of those it waits for one step at most.
+// shortWaitTokens estimates how long a short prompt waits, in prompt tokens. Engines
+// prioritise it over long prompts, so it waits for at most one step of those.
 func (lengthaware LengthAware) waitForShort(server *Server) int {
 	wait := server.QueuedShort + server.Outstanding
 	if server.QueuedLong > 0 {
@@ -153,7 +161,8 @@
 	return wait
 }
 
-// long takes the engine with least long work in the set for long prompts.
+// chooseLong chooses, from the set for long prompts, the engine with the fewest queued
+// tokens of long prompts, preferring engines with enough free memory.
 func (lengthaware LengthAware) long(servers []Server, request Request, backlog int) Decision {
 	set := slices.SortedFunc(slices.Values(servers), func(a, b Server) int {
 		return cmp.Compare(a.LongRank, b.LongRank)
@@ -166,45 +175,49 @@
 		)
 	})
 	if !lengthaware.inTime(&best, best.QueuedLong, &request) {
-		return refuse(RefusalNoTime, fmt.Sprintf("%d long tokens are queued", best.QueuedLong))
+		return refuse(RefusalNoTime, fmt.Sprintf("%d tokens of long prompts are queued", best.QueuedLong))
 	}
-	decision := choose(best, fmt.Sprintf("least long work among %d engines", len(set)))
+	decision := choose(best, fmt.Sprintf("fewest queued tokens of long prompts among %d engines", len(set)))
 	decision.Long = true
 	return decision
 }
 
-// setSize is how many engines long prompts may use now: as many as their
-// backlog needs, and the same at every entry that sees the same backlog.
+// longSetSize returns how many engines long prompts may use: as many as their backlog
+// needs. It is the same at every entry process that sees the same backlog.
 func (lengthaware LengthAware) setSize(servers, backlog int) int {
-	most := max(1, int(float64(servers)*lengthaware.settings.LongShare))
-	return min(most, 1+backlog/lengthaware.settings.LongBacklog)
+	limit := max(1, int(float64(servers)*lengthaware.settings.LongShare))
+	return min(limit, 1+backlog/lengthaware.settings.LongBacklog)
 }
 
-// firstQuietRank returns the lowest rank of engines that short prompts do not
-// avoid: at least half of all. A long prompt that another entry has just sent
-// shows late in the reports, but it went to an engine of the set.
+// firstShortRank returns the lowest LongRank of the engines that short prompts prefer,
+// which are at least half of all engines. Ranks are used in addition to load reports
+// because a long prompt that another entry process has just sent is reported late, but
+// is always on an engine of the set for long prompts.
 func (lengthaware LengthAware) firstQuietRank(snapshot Snapshot) int {
 	servers := len(snapshot.Servers)
 	size := lengthaware.setSize(servers, snapshot.LongBacklog) + lengthaware.settings.QuietMargin
 	return min(size, servers/2)
 }
 
-// inTime reports whether the prompt can be computed behind what is queued, with
-// part of the time left for the answer.
+// meetsDeadline reports whether the prompt, after the queued tokens, is expected to be
+// prefilled early enough to leave time for decoding.
 func (lengthaware LengthAware) inTime(server *Server, queued int, request *Request) bool {
 	rate := server.PrefillRate
 	if rate == 0 || queued == 0 {
-		// A server with nothing to do is tried again, however slow it was.
+		// An idle server is retried however slow it was, so that its rate is measured
+		// again.
 		rate = max(rate, lengthaware.settings.PrefillTokensPerSecond)
 	}
 	seconds := float64(queued+request.Tokens) / rate
 	return seconds < prefillPart*request.TimeLeft.Seconds()
 }
 
+// fits reports whether the server has enough free memory for the request.
 func fits(server *Server, request *Request) bool {
 	return server.Free >= request.Need()
 }
 
+// compareTrueFirst orders true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/routing/roundrobin.go
+++ b/internal/routing/roundrobin.go
@@ -7,12 +7,13 @@
 
 var _ Policy = (*RoundRobin)(nil)
 
-// RoundRobin takes servers in turn. It is a baseline.
+// RoundRobin chooses servers in turn, regardless of load and prompt length. It is a
+// baseline for comparison.
 type RoundRobin struct {
 	next atomic.Uint64
 }
 
-// NewRoundRobin returns the policy.
+// NewRoundRobin returns a policy with its own counter.
 func NewRoundRobin() *RoundRobin {
 	return &RoundRobin{}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing decides which backend servers get a request. A policy is a
-// pure function of an immutable snapshot, the request and a random number: it
-// does no I/O and reads no clock.
+// Package routing decides which backend servers process a request. A policy decides
+// by an immutable snapshot, the request and a source of random numbers. It does no
+// I/O and reads no clock.
 package routing
 
 import (
@@ -9,47 +9,48 @@
 	"time"
 )
 
-// Server is what is known of one backend server.
+// Server is the state of one backend server as an entry process sees it.
 type Server struct {
 	ID         string
 	Address    string
 	DataCentre string
 	Models     []string
-	// Memory is the KV memory of an engine, in tokens.
+	// Memory is the size of an engine's KV cache, in tokens.
 	Memory int
-	// Free is the KV memory that is neither used nor promised, in tokens, as
-	// reported, less what was sent there since. It may be negative.
+	// Free is the KV cache that is neither used nor reserved, in tokens, as last
+	// reported, less the memory of requests sent since. It may be negative.
 	Free int
-	// QueuedShort is the prompt tokens of short requests not yet computed:
-	// exact for this entry's, and as reported for others'.
+	// QueuedShort is the number of prompt tokens of short requests that are not yet
+	// prefilled: exact for requests of this entry process, and as reported by the server
+	// for those of others.
 	QueuedShort int
 	// QueuedLong is the same for long requests.
 	QueuedLong int
-	// LongRank is the place of an engine in the order in which engines are
-	// given to long prompts, the same at every entry.
+	// LongRank is the rank of an engine, from 0, in the order in which engines are
+	// assigned to long prompts. It is the same at every entry process.
 	LongRank int
-	// PrefillRate is the prompt tokens that the server computes in a second as
-	// seen from its answers, what was queued there before counted in. Zero
-	// means that it is not known.
+	// PrefillRate is the number of prompt tokens that the server prefills per second, as
+	// measured from the time to the first token of its responses, with the tokens queued
+	// before included. Zero means that it has not been measured.
 	PrefillRate float64
-	// Outstanding is how many requests of this entry run there.
+	// Outstanding is the number of this entry process's requests in flight to the server.
 	Outstanding int
-	// Leaving says that nothing new may go there.
+	// Draining is set when the server must not receive new requests.
 	Leaving bool
-	// Ejected says that recent answers were errors.
+	// Ejected is set while the server is avoided because of consecutive failures.
 	Ejected bool
 }
 
-// Snapshot is the backend servers of one kind at one moment. It is not
-// changed once made.
+// Snapshot is the state of the backend servers of one kind at one time. It must not
+// be modified.
 type Snapshot struct {
-	// Servers is ordered by ID.
+	// Servers is sorted by ID.
 	Servers []Server
 	// LongBacklog is the sum of QueuedLong over all servers.
 	LongBacklog int
 }
 
-// NewSnapshot returns a snapshot of servers, which are ordered by ID.
+// NewSnapshot returns a snapshot of servers, which must be sorted by ID.
 func NewSnapshot(servers []Server) Snapshot {
 	snapshot := Snapshot{Servers: servers}
 	for i := range servers {
@@ -58,35 +59,36 @@
 	return snapshot
 }
 
-// Request is what a decision needs to know of a request.
+// Request has the properties of a request that routing depends on.
 type Request struct {
 	Model string
-	// Tokens is the length of the prompt with what is already generated.
+	// Tokens is the length of the prompt and of the output generated so far, in tokens.
 	Tokens int
-	// MaxTokens is how many more tokens may be generated.
+	// MaxTokens is the maximum number of further tokens to generate.
 	MaxTokens int
-	// TimeLeft is what is left of the stated time.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// Tried has servers that already failed this request.
+	// Tried has the IDs of the servers that already failed this request.
 	Tried []string
 }
 
-// Need is the KV memory for the whole request, in tokens.
+// RequiredMemory returns the KV cache that the whole request needs, in tokens.
 func (request Request) Need() int {
 	return request.Tokens + request.MaxTokens
 }
 
-// mayUse reports whether the request may go to the server at all.
+// isEligible reports whether the request may be sent to the server, regardless of
+// load, memory and ejection.
 func (request *Request) mayUse(server *Server) bool {
 	return !server.Leaving &&
 		slices.Contains(server.Models, request.Model) &&
 		!slices.Contains(request.Tried, server.ID)
 }
 
-// Refusal says why no server was chosen.
+// Refusal is the reason why no server was chosen.
 type Refusal string
 
-// Refusals.
+// Reasons for refusal.
 const (
 	RefusalNone     Refusal = ""
 	RefusalNoServer Refusal = "no server"
@@ -94,25 +96,26 @@
 	RefusalNoTime   Refusal = "stated time cannot be met"
 )
 
-// Decision is the servers that get a request, or why none does.
+// Decision has the servers that are to process a request, or the reason why none is.
 type Decision struct {
-	// Servers has one server, or the engines of a group by ID. It is empty
-	// exactly when Refusal is set.
+	// Servers has one server, or the engines of a group sorted by ID. It is empty if and
+	// only if Refusal is set.
 	Servers []Server
 	Refusal Refusal
-	// Reason explains the choice in the log.
+	// Reason explains the decision, for log lines.
 	Reason string
-	// Long says that the request counts as a long one.
+	// Long is set if the request is handled as a long prompt.
 	Long bool
 }
 
-// Policy chooses among the servers of a snapshot.
+// Policy chooses the servers for a request from a snapshot. It must be safe for
+// concurrent use.
 type Policy interface {
 	Decide(snapshot Snapshot, request Request, random *rand.Rand) Decision
 }
 
-// usable returns the servers that may get the request at all. Ejected ones
-// count only when there are no others.
+// eligibleServers returns the servers to which the request may be sent. It returns
+// ejected servers only if there are no others.
 func usable(snapshot Snapshot, request *Request) []Server {
 	var healthy, ejected []Server
 	for i := range snapshot.Servers {
@@ -131,10 +134,12 @@
 	return healthy
 }
 
+// refuse returns a decision without servers.
 func refuse(refusal Refusal, reason string) Decision {
 	return Decision{Refusal: refusal, Reason: reason}
 }
 
+// choose returns a decision for one server.
 func choose(server Server, reason string) Decision {
 	return Decision{Servers: []Server{server}, Reason: reason}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -18,7 +18,7 @@
 	memory = 100_000
 )
 
-// engines returns engines that are alike but for their names.
+// engines returns engines that differ only in ID and LongRank.
 func engines(count int) []routing.Server {
 	servers := make([]routing.Server, 0, count)
 	for i := range count {
@@ -45,12 +45,14 @@
 	}
 }
 
-func TestNeverChosen(t *testing.T) {
+// A policy must not choose a server that drains, lacks the model, is ejected or has
+// already failed the request, while another is available.
+func TestIneligibleServersAreNotChosen(t *testing.T) {
 	cases := map[string]struct {
 		change  func(server *routing.Server)
 		request func(request *routing.Request)
 	}{
-		"leaving":       {change: func(server *routing.Server) { server.Leaving = true }},
+		"draining":      {change: func(server *routing.Server) { server.Leaving = true }},
 		"another model": {change: func(server *routing.Server) { server.Models = []string{"audit"} }},
 		"ejected":       {change: func(server *routing.Server) { server.Ejected = true }},
 		"tried before":  {request: func(request *routing.Request) { request.Tried = []string{"e00"} }},
@@ -76,7 +78,8 @@
 	}
 }
 
-func TestEjectedWhenThereIsNoOther(t *testing.T) {
+// Ejection must not make a request fail when all servers are ejected.
+func TestEjectedServerIsChosenWithoutAlternative(t *testing.T) {
 	servers := engines(1)
 	servers[0].Ejected = true
 	for name, policy := range policies() {
@@ -87,20 +90,22 @@
 	}
 }
 
+// Short prompts must not queue behind long ones, and requests that cannot be served in
+// time or from the available memory must be refused.
 func TestLengthAware(t *testing.T) {
 	cases := map[string]struct {
 		change  func(servers []routing.Server)
 		request routing.Request
-		// allowed has the only servers that may be chosen.
+		// allowed has the IDs of the servers that may be chosen.
 		allowed []string
 		refusal routing.Refusal
 	}{
-		"a short prompt avoids long work and the engines given to it next": {
+		"a short prompt avoids engines with long prompts and those assigned to them next": {
 			change:  func(servers []routing.Server) { servers[5].QueuedLong = 1000 },
 			request: short(),
 			allowed: []string{"e03", "e04", "e06", "e07"},
 		},
-		"a short prompt takes an engine with long work when the others are worse": {
+		"a short prompt uses an engine with long prompts when the others have longer queues": {
 			change: func(servers []routing.Server) {
 				for i := range servers {
 					servers[i].QueuedShort = 50_000
@@ -110,25 +115,25 @@
 			request: short(),
 			allowed: []string{"e00"},
 		},
-		"a long prompt takes the first engine": {
+		"a long prompt uses the engine with the lowest rank": {
 			request: routing.Request{Model: model, Tokens: 50_000, MaxTokens: 100, TimeLeft: time.Minute},
 			allowed: []string{"e00"},
 		},
-		"long prompts spread with their backlog": {
+		"long prompts use more engines as their backlog grows": {
 			change:  func(servers []routing.Server) { servers[0].QueuedLong = 150_000 },
 			request: routing.Request{Model: model, Tokens: 50_000, MaxTokens: 100, TimeLeft: time.Minute},
 			allowed: []string{"e01"},
 		},
-		"a prompt longer than an engine's memory takes a group, by ID": {
+		"a prompt longer than an engine's memory uses a group sorted by ID": {
 			change:  func(servers []routing.Server) { servers[0].Free = 0 },
 			request: routing.Request{Model: model, Tokens: 250_000, MaxTokens: 100, TimeLeft: time.Minute},
 			allowed: []string{"e01", "e02", "e03"},
 		},
-		"a prompt longer than all engines is refused": {
+		"a prompt longer than the memory of all engines is refused": {
 			request: routing.Request{Model: model, Tokens: 1_000_000, MaxTokens: 100, TimeLeft: time.Minute},
 			refusal: routing.RefusalTooLong,
 		},
-		"a stated time that cannot be met is refused": {
+		"a request whose deadline cannot be met is refused": {
 			change: func(servers []routing.Server) {
 				for i := range servers {
 					servers[i].QueuedShort = 400_000
@@ -137,7 +142,7 @@
 			request: routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: time.Second},
 			refusal: routing.RefusalNoTime,
 		},
-		"a slow server is refused for what it cannot compute in time": {
+		"a request is refused when the measured prefill rate is too low for its deadline": {
 			change: func(servers []routing.Server) {
 				for i := range servers {
 					servers[i].QueuedShort, servers[i].PrefillRate = 10_000, 5_000
@@ -146,7 +151,7 @@
 			request: routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: 3 * time.Second},
 			refusal: routing.RefusalNoTime,
 		},
-		"a slow server with nothing to do is tried again": {
+		"an idle server is tried again however slow it was": {
 			change: func(servers []routing.Server) {
 				for i := range servers {
 					servers[i].PrefillRate = 100
@@ -155,7 +160,7 @@
 			request: routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: 3 * time.Second},
 			allowed: []string{"e03", "e04", "e05", "e06", "e07"},
 		},
-		"a model that nobody has is refused": {
+		"a model that no server has is refused": {
 			request: routing.Request{Model: "other", Tokens: 10, MaxTokens: 1, TimeLeft: time.Second},
 			refusal: routing.RefusalNoServer,
 		},
@@ -167,7 +172,7 @@
 				c.change(servers)
 			}
 			settings := routing.DefaultLengthAwareSettings()
-			settings.Choices = 64 // so many that the best is always among them
+			settings.Choices = 64 // enough for the best server to be in every sample
 			policy := routing.NewLengthAware(settings)
 			random := newRandom()
 			for range 50 {
@@ -179,7 +184,8 @@
 	}
 }
 
-// assertChosen checks that one of the allowed was chosen, or as a group all.
+// assertChosen checks that the chosen server is allowed, or that the chosen group has
+// the allowed servers in their order.
 func assertChosen(t *testing.T, chosen []routing.Server, allowed []string) {
 	t.Helper()
 	for i, server := range chosen {
@@ -191,9 +197,10 @@
 	}
 }
 
-// TestDecisionsHold draws snapshots and requests, and checks what must hold of
-// any decision of any policy.
-func TestDecisionsHold(t *testing.T) {
+// TestDecisionInvariants checks, for random snapshots and requests, the invariants of
+// every policy's decisions: servers or a refusal, none draining, groups sorted by ID,
+// and enough memory.
+func TestDecisionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := engines(rapid.IntRange(0, 12).Draw(t, "servers"))
 		for i := range servers {
@@ -218,23 +225,24 @@
 	})
 }
 
-// problemOf says what is wrong with a decision, or nothing.
+// problemOf describes the first invariant that a decision violates. It returns an
+// empty string if there is none.
 func problemOf(decision routing.Decision, request routing.Request) string {
 	if (len(decision.Servers) == 0) != (decision.Refusal != routing.RefusalNone) {
 		return fmt.Sprintf("%d servers and refusal %q", len(decision.Servers), decision.Refusal)
 	}
-	held := 0
+	totalMemory := 0
 	for i, chosen := range decision.Servers {
-		held += chosen.Memory
+		totalMemory += chosen.Memory
 		if chosen.Leaving {
-			return chosen.ID + " is leaving"
+			return chosen.ID + " is draining"
 		}
 		if i > 0 && decision.Servers[i-1].ID >= chosen.ID {
-			return "group not in the order of IDs"
+			return "group is not sorted by ID"
 		}
 	}
-	if len(decision.Servers) > 0 && held < request.Need() {
-		return fmt.Sprintf("%d tokens of memory for %d", held, request.Need())
+	if len(decision.Servers) > 0 && totalMemory < request.Need() {
+		return fmt.Sprintf("%d tokens of memory for %d", totalMemory, request.Need())
 	}
 	return ""
 }
