--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,4 +1,4 @@
-// Package backend is the interface to backend servers: model engines, which
-// answer a prompt with a stream of tokens, and plain services, which answer a
-// call. Each has one adapter for HTTP.
+// Package backend defines the interfaces to backend servers: model engines, which
+// respond to a prompt with a stream of tokens, and plain services, which respond to a
+// call with one body. HTTPBackend implements both over HTTP.
 package backend
--- a/internal/backend/httpbackend.go
+++ b/internal/backend/httpbackend.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds on what is read from and kept open to backend servers.
+// Limits of connections to backend servers and of the responses read from them.
 const (
 	dialTimeout      = time.Second
 	idleConnsPerHost = 256
@@ -30,16 +30,15 @@
 	_ Service = (*HTTPBackend)(nil)
 )
 
-// HTTPBackend reaches engines and services over HTTP.
+// HTTPBackend is a client for engines and services over HTTP.
 type HTTPBackend struct {
 	pooled *http.Client
-	// fresh uses each connection once. A dispatch that may not be repeated
-	// goes over it, so that a dead server shows when connecting, before
-	// anything is sent.
+	// unpooled uses each connection once. It is used for dispatches that may run at most
+	// once: a dead server is then detected when connecting, before anything is sent.
 	fresh *http.Client
 }
 
-// NewHTTPBackend returns an adapter with its own connections.
+// NewHTTPBackend returns a client with its own connection pool.
 func NewHTTPBackend() *HTTPBackend {
 	return &HTTPBackend{
 		pooled: newClient(false),
@@ -75,11 +74,11 @@
 	}
 	defer closeBody(response)
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxCallBody))
-	return body, errors.Wrapf(err, "backend server %s: read answer", address)
+	return body, errors.Wrapf(err, "backend server %s: read response", address)
 }
 
-// dispatch sends a request that makes a server run something. The transport
-// repeats a POST only if nothing of it was written.
+// dispatch sends a request to run. net/http retries a POST only if nothing of it was
+// written.
 func (httpbackend *HTTPBackend) dispatch(
 	ctx context.Context, address, path string, dispatch Dispatch,
 ) (*http.Response, error) {
@@ -103,6 +102,7 @@
 	return nil, newStatusError(address, response)
 }
 
+// setHeaders sets the headers of the backend protocol.
 func (dispatch Dispatch) setHeaders(header http.Header) {
 	header.Set(HeaderAttempt, dispatch.Attempt)
 	header.Set(HeaderRequest, dispatch.Request)
@@ -129,16 +129,18 @@
 	}
 }
 
-// newDispatchError tells an error before the connection, after which nothing
-// ran, from all others.
+// newDispatchError returns a *NotRunError if the connection could not be established,
+// since the request then certainly did not run, and wraps other errors.
 func newDispatchError(address string, err error) error {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return &NotRunError{Address: address, Reason: err.Error(), Unreachable: true}
 	}
 	return errors.Wrapf(err, "backend server %s", address)
 }
 
+// newStatusError returns a *NotRunError if the body says that the request was not run,
+// and a *StatusError otherwise.
 func newStatusError(address string, response *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	var refusal Refusal
@@ -199,6 +201,7 @@
 	return load, err
 }
 
+// getJSON decodes the JSON response to a GET request into value.
 func (httpbackend *HTTPBackend) get(ctx context.Context, address, path string, value any) error {
 	response, err := httpbackend.send(ctx, http.MethodGet, address, path, nil)
 	if err != nil {
@@ -212,7 +215,8 @@
 	return errors.Wrapf(err, "backend server %s", address)
 }
 
-// order sends a request whose repeat changes nothing.
+// sendIdempotent sends an idempotent request. A response that the resource does not
+// exist counts as success.
 func (httpbackend *HTTPBackend) order(ctx context.Context, method, address, path string, body []byte) error {
 	response, err := httpbackend.send(ctx, method, address, path, body)
 	if err != nil {
@@ -225,6 +229,7 @@
 	return newStatusError(address, response)
 }
 
+// send sends a request over the pooled connections.
 func (httpbackend *HTTPBackend) send(
 	ctx context.Context, method, address, path string, body []byte,
 ) (*http.Response, error) {
@@ -236,12 +241,14 @@
 	return response, errors.Wrapf(err, "backend server %s", address)
 }
 
+// closeBody reads the rest of the body, up to a limit, and closes it, so that the
+// connection can be reused.
 func closeBody(response *http.Response) {
 	_, _ = io.CopyN(io.Discard, response.Body, maxErrorBody)
 	_ = response.Body.Close()
 }
 
-// httpStream reads frames from lines of JSON.
+// httpStream decodes frames from lines of JSON.
 type httpStream struct {
 	response *http.Response
 	decoder  *json.Decoder
@@ -259,10 +266,10 @@
 	var frame Frame
 	err := httpstream.decoder.Decode(&frame)
 	if err == nil && frame.End != EndNone {
-		// Reading to the end lets the connection be used again.
+		// Reading to the end of the body allows the connection to be reused.
 		_, _ = io.CopyN(io.Discard, httpstream.response.Body, maxErrorBody)
 	}
-	return frame, errors.Wrap(err, "stream")
+	return frame, errors.Wrap(err, "read stream")
 }
 
 // Organisation implements Stream.
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -17,17 +17,17 @@
 	HeaderTimeLeft     = "Backend-Time-Left-Ms"
 )
 
-// Priorities of streams. An engine computes the prompts of a higher one first.
+// Priorities of streams. An engine prefills prompts of higher priority first.
 const (
 	PriorityLong   = 0
 	PriorityMedium = 5
 	PriorityShort  = 10
 )
 
-// End says how a stream ended at its engine.
+// End is how a stream ended at its engine.
 type End string
 
-// Ends of streams.
+// Ways in which a stream ends. EndNone is that of a stream that has not ended.
 const (
 	EndNone      End = ""
 	EndCompleted End = "completed"
@@ -36,9 +36,9 @@
 	EndFailed    End = "failed"
 )
 
-// Frame is one line of a stream: a token, or the end.
+// Frame is one line of a stream: a token, or the end of the stream.
 type Frame struct {
-	// Seq counts the tokens of an answer from zero, without gaps.
+	// Seq is the index of the token in the response, starting at 0.
 	Seq  int    `json:"seq"`
 	Text string `json:"text,omitempty"`
 	End  End    `json:"end,omitempty"`
@@ -46,40 +46,45 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Refusal is the body of an answer that says that nothing was run.
+// Refusal is the body of an error response to a request that the server did not run.
 type Refusal struct {
-	Reason  string `json:"reason"`
-	NotRun  bool   `json:"not_run"`
-	Leaving bool   `json:"leaving,omitempty"`
+	Reason string `json:"reason"`
+	NotRun bool   `json:"not_run"`
+	// Leaving is set if the server drains, and so accepts no new requests.
+	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Load is what a model engine reports of itself, with a lag.
+// Load is the load of a model engine as the engine reports it, with a lag.
 type Load struct {
-	// FreeTokens is the KV cache neither used nor reserved.
+	// FreeTokens is the KV cache that is neither used nor reserved, in tokens.
 	FreeTokens int `json:"free_tokens"`
-	// QueuedPrefillTokens is the prompt tokens admitted and not yet computed.
+	// QueuedPrefillTokens is the number of prompt tokens that are admitted and not yet
+	// prefilled.
 	QueuedPrefillTokens int `json:"queued_prefill_tokens"`
-	// QueuedLongTokens is the part of them below PriorityShort.
-	QueuedLongTokens int  `json:"queued_long_tokens"`
-	Running          int  `json:"running"`
-	Waiting          int  `json:"waiting"`
-	Leaving          bool `json:"leaving,omitempty"`
+	// QueuedLongTokens is how many of them have a priority below PriorityShort.
+	QueuedLongTokens int `json:"queued_long_tokens"`
+	// Running and Waiting are numbers of requests.
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
+	// Leaving is set if the engine drains, and so accepts no new requests.
+	Leaving bool `json:"leaving,omitempty"`
 }
 
-// StreamInfo describes a stream that an engine holds.
+// StreamInfo describes a stream that an engine keeps.
 type StreamInfo struct {
 	Attempt      string `json:"attempt"`
 	Request      string `json:"request"`
 	Organisation string `json:"organisation"`
 	Owner        string `json:"owner"`
-	// Tokens is how many tokens the answer has so far.
+	// Tokens is the number of tokens generated so far.
 	Tokens     int   `json:"tokens"`
 	End        End   `json:"end,omitempty"`
 	Attached   bool  `json:"attached"`
 	TimeLeftMS int64 `json:"time_left_ms"`
 }
 
-// Reservation asks an engine to hold memory for a group of engines.
+// Reservation is a request to an engine to reserve memory for a group of engines that
+// process one prompt.
 type Reservation struct {
 	Tokens int   `json:"tokens"`
 	TTLMS  int64 `json:"ttl_ms"`
