--- a/internal/fleet/activerequest.go
+++ b/internal/fleet/activerequest.go
@@ -7,34 +7,41 @@
 	"github.com/mastwinch/mastwinch/internal/routing"
 )
 
-// Learning of rates: the least work, in tokens, of a prompt that tells of the
-// rate, and the weight of one sample.
+// Measurement of prefill rates.
 const (
+	// minRateTokens is the minimum number of prompt tokens, with those queued before, of
+	// a sample. The time of fewer tokens depends more on the time of a step than on the
+	// rate.
 	rateWork = 4096
+	// rateWeight is the weight of a sample in the moving average.
 	rateGain = 0.1
 )
 
-// Sending is a request on its way to the servers of a decision.
+// ActiveRequest is a request in flight to the servers of a decision. Its functions are
+// safe for concurrent use.
 type Sending struct {
-	// Computed notes that the prompt is computed. Only the first call counts.
+	// FinishPrefill records that the prompt is prefilled. Calls after the first have no
+	// effect.
 	Computed func()
-	// Over notes that the request is over. Only the first call counts.
+	// Finish records that the request has ended. Calls after the first have no effect.
 	Over func()
 }
 
-// NoSending returns what notes nothing, for a stream that another entry sent.
+// UntrackedRequest returns an ActiveRequest that records nothing, for a stream that
+// another entry process started.
 func NoSending() Sending {
 	return Sending{Computed: func() {}, Over: func() {}}
 }
 
-// Sent notes that a request goes to the servers of a decision.
+// RecordDispatch records that a request is sent to the servers of a decision. The
+// caller must call Finish when the request has ended.
 func (fleet *Fleet) Sent(decision routing.Decision, request routing.Request) Sending {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	width := max(1, len(decision.Servers))
-	share := pending{short: request.Tokens / width}
+	groupSize := max(1, len(decision.Servers))
+	share := pending{short: request.Tokens / groupSize}
 	if decision.Long {
-		share = pending{long: request.Tokens / width}
+		share = pending{long: request.Tokens / groupSize}
 	}
 	now := fleet.now()
 	for _, chosen := range decision.Servers {
@@ -45,40 +52,41 @@
 		server.outstanding++
 		server.own.short += share.short
 		server.own.long += share.long
-		server.sent = append(server.sent, sent{at: now, memory: request.Need() / width})
+		server.sent = append(server.sent, sent{at: now, memory: request.Need() / groupSize})
 		server.ejection.StartProbe(now, fleet.settings.ejection())
 	}
-	counted := sync.OnceFunc(func() { fleet.computed(decision, share) })
-	computed := sync.OnceFunc(func() {
+	removePending := sync.OnceFunc(func() { fleet.computed(decision, share) })
+	finishPrefill := sync.OnceFunc(func() {
 		fleet.observe(decision, request, now)
-		counted()
+		removePending()
 	})
-	over := sync.OnceFunc(func() {
-		counted()
+	finish := sync.OnceFunc(func() {
+		removePending()
 		fleet.over(decision)
 	})
-	return Sending{Computed: computed, Over: over}
+	return Sending{Computed: finishPrefill, Over: finish}
 }
 
-// observe learns from a short prompt how quickly its server computes. Those
-// that took little work tell more of the time of a step than of the rate.
+// updatePrefillRate updates the server's prefill rate by the time that a short prompt
+// took. Long prompts, and those with few tokens to prefill, are ignored.
 func (fleet *Fleet) observe(decision routing.Decision, request routing.Request, sentAt time.Time) {
 	chosen := decision.Servers[0]
-	work := chosen.QueuedShort + request.Tokens
+	tokens := chosen.QueuedShort + request.Tokens
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	elapsed := fleet.now().Sub(sentAt).Seconds()
 	server := fleet.servers[chosen.ID]
-	if server == nil || decision.Long || work < rateWork || elapsed <= 0 {
+	if server == nil || decision.Long || tokens < rateWork || elapsed <= 0 {
 		return
 	}
-	sample := float64(work) / elapsed
+	sample := float64(tokens) / elapsed
 	if server.rate == 0 {
 		server.rate = sample
 	}
 	server.rate += rateGain * (sample - server.rate)
 }
 
+// finishPrefill removes the request's prompt tokens from those pending at its servers.
 func (fleet *Fleet) computed(decision routing.Decision, share pending) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -90,6 +98,7 @@
 	}
 }
 
+// finish removes the request from those in flight to its servers.
 func (fleet *Fleet) over(decision routing.Decision) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet holds what an entry knows of the backend servers: the VM list
-// and the load reports that its keeper sends, what the entry itself sent since
-// then, and how the servers' own answers came out.
+// Package fleet tracks the state of the backend servers within an entry process, which
+// serves callers. It combines the VM list and the load reports that a keeper publishes
+// with the requests that the entry process sent since, and with the success or failure
+// of the servers' responses.
 package fleet
 
 import (
@@ -16,30 +17,32 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// longOrderKey gives the order in which engines are given to long prompts.
+// longOrderKey is the rendezvous key that orders engines by their assignment to long
+// prompts.
 const longOrderKey = "long"
 
-// Settings tune what the fleet makes of answers.
+// Settings configure the evaluation of load reports, failures and drain notices.
 type Settings struct {
-	// ReportLag is how old load reports are taken to be; what was sent in
-	// that time is added to them.
+	// ReportLag is the assumed age of load reports. Requests sent within it are counted
+	// in addition to the reported load.
 	ReportLag time.Duration `yaml:"report_lag" validate:"min=0,max=1m"`
-	// EjectAfter is how many failures in a row eject a server.
+	// EjectAfter is the number of consecutive failures after which a server is ejected.
 	EjectAfter int `yaml:"eject_after" validate:"min=1"`
-	// EjectTime is how long the first ejection lasts; each further failure
-	// doubles it up to EjectTimeMax.
+	// EjectTime is the duration of the first ejection. Each further failure doubles it,
+	// up to EjectTimeMax.
 	EjectTime    time.Duration `yaml:"eject_time" validate:"min=10ms"`
 	EjectTimeMax time.Duration `yaml:"eject_time_max" validate:"min=10ms"`
-	// LeavingTime is how long a server counts as leaving that said so itself.
+	// DrainingTime is how long a server is treated as draining after it reported that it
+	// drains.
 	LeavingTime time.Duration `yaml:"leaving_time" validate:"min=1s"`
 }
 
-// ejection returns when and for how long servers are ejected.
+// ejection returns the limits for the ejection of servers.
 func (settings Settings) ejection() ejection.Limits {
 	return ejection.Limits{After: settings.EjectAfter, Time: settings.EjectTime, TimeMax: settings.EjectTimeMax}
 }
 
-// DefaultSettings returns settings for today's fleets.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		ReportLag:    700 * time.Millisecond,
@@ -50,19 +53,19 @@
 	}
 }
 
-// Fleet is the backend servers and the system's own VMs.
+// Fleet is the backend servers and the system's own VMs. It is safe for concurrent use.
 type Fleet struct {
 	settings Settings
 	now      func() time.Time
 
 	mu sync.Mutex
-	// servers has all listed VMs by ID.
+	// servers has the VMs in the VM list, by ID.
 	servers map[string]*server
-	// byKind has the servers of each kind, by ID.
+	// byKind has the servers of each kind, sorted by ID.
 	byKind map[string][]*server
 }
 
-// New returns an empty fleet. The clock is now.
+// New returns an empty fleet. now returns the current time.
 func New(settings Settings, now func() time.Time) *Fleet {
 	return &Fleet{
 		settings: settings,
@@ -71,20 +74,21 @@
 	}
 }
 
-// SetFleet takes over a VM list. What is known of VMs that stay is kept.
+// SetFleet sets the VM list. The state of VMs that were in the previous list is kept,
+// that of others is dropped.
 func (fleet *Fleet) SetFleet(listed *wire.Fleet) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	servers := make(map[string]*server, len(listed.GetServers()))
 	byKind := make(map[string][]*server)
 	for _, vm := range listed.GetServers() {
-		known := fleet.servers[vm.GetId()]
-		if known == nil {
-			known = &server{}
+		current := fleet.servers[vm.GetId()]
+		if current == nil {
+			current = &server{}
 		}
-		known.listed = vm
-		servers[vm.GetId()] = known
-		byKind[vm.GetKind()] = append(byKind[vm.GetKind()], known)
+		current.listed = vm
+		servers[vm.GetId()] = current
+		byKind[vm.GetKind()] = append(byKind[vm.GetKind()], current)
 	}
 	for _, list := range byKind {
 		ids := make([]string, 0, len(list))
@@ -100,24 +104,25 @@
 	fleet.byKind = byKind
 }
 
-// SetLoads takes over load reports. A server without one keeps its last.
+// SetLoads sets the reported loads. A server that is not in loads keeps its last
+// reported load.
 func (fleet *Fleet) SetLoads(loads *wire.Loads) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, load := range loads.GetLoads() {
-		known := fleet.servers[load.GetServerId()]
-		if known == nil {
+		server := fleet.servers[load.GetServerId()]
+		if server == nil {
 			continue
 		}
-		known.load = load
-		known.others = newOthers(load, known.own)
+		server.load = load
+		server.others = newOthers(load, server.own)
 		if load.GetLeaving() {
-			known.leavingUntil = fleet.now().Add(fleet.settings.LeavingTime)
+			server.leavingUntil = fleet.now().Add(fleet.settings.LeavingTime)
 		}
 	}
 }
 
-// KeeperAddresses returns the keepers of the live VMs of the system.
+// KeeperAddresses returns the addresses of the keepers in the VM list.
 func (fleet *Fleet) KeeperAddresses() []string {
 	var addresses []string
 	for _, vm := range fleet.list(infra.KindSystem) {
@@ -128,7 +133,7 @@
 	return addresses
 }
 
-// SystemVM returns the VM of the system with that ID while it is listed.
+// SystemVM returns the VM of the system with that ID if it is in the VM list.
 func (fleet *Fleet) SystemVM(id string) (*wire.Server, bool) {
 	for _, vm := range fleet.list(infra.KindSystem) {
 		if vm.GetId() == id {
@@ -138,37 +143,38 @@
 	return nil, false
 }
 
-// Engines returns all listed engines, by ID.
+// Engines returns the engines in the VM list, sorted by ID.
 func (fleet *Fleet) Engines() []*wire.Server {
 	return fleet.list(infra.KindEngine)
 }
 
+// list returns the VMs of that kind, sorted by ID.
 func (fleet *Fleet) list(kind string) []*wire.Server {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	found := make([]*wire.Server, 0, len(fleet.byKind[kind]))
+	vms := make([]*wire.Server, 0, len(fleet.byKind[kind]))
 	for _, server := range fleet.byKind[kind] {
-		found = append(found, server.listed)
+		vms = append(vms, server.listed)
 	}
-	return found
+	return vms
 }
 
-// Snapshot returns the servers of that kind as they are known now. Those of evacuated data centres take nothing new, as those
-// that leave.
+// Snapshot returns the current state of the servers of that kind. Servers in evacuated data centres are marked as
+// draining.
 func (fleet *Fleet) Snapshot(kind string, evacuated func(dataCentre string) bool) routing.Snapshot {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	now := fleet.now()
 	servers := make([]routing.Server, 0, len(fleet.byKind[kind]))
 	for _, server := range fleet.byKind[kind] {
-		view := server.view(now, fleet.settings.ReportLag)
-		view.Leaving = view.Leaving || evacuated(view.DataCentre)
-		servers = append(servers, view)
+		snapshot := server.view(now, fleet.settings.ReportLag)
+		snapshot.Leaving = snapshot.Leaving || evacuated(snapshot.DataCentre)
+		servers = append(servers, snapshot)
 	}
 	return routing.NewSnapshot(servers)
 }
 
-// Succeeded notes a good answer of the server.
+// MarkSucceeded records a successful response of the server, which ends its ejection.
 func (fleet *Fleet) Succeeded(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -177,7 +183,8 @@
 	}
 }
 
-// Failed notes a failure of the server, and reports whether it is ejected.
+// MarkFailed records a failure of the server, and reports whether the server is
+// ejected as a result.
 func (fleet *Fleet) Failed(id string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -188,7 +195,8 @@
 	return server.ejection.RecordFailure(fleet.now(), fleet.settings.ejection())
 }
 
-// Leaving notes that the server itself said that it is leaving.
+// Leaving records that the server itself reported that it drains, that is, accepts no
+// new requests.
 func (fleet *Fleet) Leaving(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -197,7 +205,7 @@
 	}
 }
 
-// Counts returns how many servers of each kind are listed, by kind.
+// Counts returns the number of VMs of each kind in the VM list, sorted by kind.
 func (fleet *Fleet) Counts() []KindCount {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -209,7 +217,7 @@
 	return list
 }
 
-// KindCount is how many servers of a kind are listed.
+// KindCount is the number of VMs of a kind in the VM list.
 type KindCount struct {
 	Kind  string `json:"kind"`
 	Count int    `json:"count"`
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 const id = "e1"
 
-// clock is a clock that the test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	now time.Time
 }
@@ -25,8 +25,8 @@
 	return tested
 }
 
-func listed(leaving bool) *wire.Fleet {
-	return &wire.Fleet{Servers: []*wire.Server{{Id: id, Kind: infra.KindEngine, MemoryTokens: 1000, Leaving: leaving}}}
+func listed(draining bool) *wire.Fleet {
+	return &wire.Fleet{Servers: []*wire.Server{{Id: id, Kind: infra.KindEngine, MemoryTokens: 1000, Leaving: draining}}}
 }
 
 func loads(load *wire.Load) *wire.Loads {
@@ -34,6 +34,7 @@
 	return &wire.Loads{Loads: []*wire.Load{load}}
 }
 
+// view returns the state of the only server.
 func view(tested *fleet.Fleet) routing.Server {
 	return tested.Snapshot(infra.KindEngine, func(string) bool { return false }).Servers[0]
 }
@@ -42,32 +43,34 @@
 	return routing.Decision{Servers: []routing.Server{{ID: id}}, Long: long}
 }
 
+// Queued tokens and free memory must include the requests that were sent after the last
+// load report, and must not count those twice that the report includes.
 func TestQueued(t *testing.T) {
 	request := routing.Request{Tokens: 100, MaxTokens: 20}
 	cases := map[string]struct {
-		act       func(tested *fleet.Fleet, clock *clock)
+		action    func(tested *fleet.Fleet, clock *clock)
 		wantShort int
 		wantLong  int
 		wantFree  int
 	}{
-		"nothing sent": {
-			act:      func(*fleet.Fleet, *clock) {},
+		"no request sent": {
+			action:   func(*fleet.Fleet, *clock) {},
 			wantFree: 1000,
 		},
-		"a short prompt until its first token": {
-			act:       func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request) },
+		"short prompt before its first token": {
+			action:    func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request) },
 			wantShort: 100, wantFree: 880,
 		},
-		"a long prompt until its first token": {
-			act:      func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(true), request) },
+		"long prompt before its first token": {
+			action:   func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(true), request) },
 			wantLong: 100, wantFree: 880,
 		},
-		"none after its first token, but its memory": {
-			act:      func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request).Computed() },
+		"only memory after the first token": {
+			action:   func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request).Computed() },
 			wantFree: 880,
 		},
-		"counted down once": {
-			act: func(tested *fleet.Fleet, _ *clock) {
+		"repeated calls have no effect": {
+			action: func(tested *fleet.Fleet, _ *clock) {
 				tested.Sent(decision(false), request)
 				second := tested.Sent(decision(false), request)
 				second.Computed()
@@ -76,15 +79,15 @@
 			},
 			wantShort: 100, wantFree: 760,
 		},
-		"a report that shows own prompts does not count them twice": {
-			act: func(tested *fleet.Fleet, _ *clock) {
+		"reported prompts of this entry process are not counted twice": {
+			action: func(tested *fleet.Fleet, _ *clock) {
 				tested.Sent(decision(false), request)
 				tested.SetLoads(loads(&wire.Load{QueuedPrefillTokens: 130, FreeTokens: 1000}))
 			},
 			wantShort: 130, wantFree: 880,
 		},
-		"memory as reported once reports show it": {
-			act: func(tested *fleet.Fleet, clock *clock) {
+		"reported memory after the report lag": {
+			action: func(tested *fleet.Fleet, clock *clock) {
 				tested.Sent(decision(false), request).Computed()
 				clock.now = clock.now.Add(time.Second)
 				tested.SetLoads(loads(&wire.Load{FreeTokens: 600}))
@@ -96,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			clock := &clock{now: time.Unix(1000, 0)}
 			tested := newFleet(clock)
-			c.act(tested, clock)
+			c.action(tested, clock)
 			got := view(tested)
 			assert.Equal(t, got.QueuedShort, c.wantShort)
 			assert.Equal(t, got.QueuedLong, c.wantLong)
@@ -105,22 +108,25 @@
 	}
 }
 
-func TestLeaving(t *testing.T) {
+// Each of the ways in which a server is known to drain must be recognised.
+func TestDraining(t *testing.T) {
 	cases := map[string]func(tested *fleet.Fleet){
-		"by the VM list": func(tested *fleet.Fleet) { tested.SetFleet(listed(true)) },
-		"by its report":  func(tested *fleet.Fleet) { tested.SetLoads(loads(&wire.Load{Leaving: true})) },
-		"by its answer":  func(tested *fleet.Fleet) { tested.Leaving(id) },
+		"by the VM list":     func(tested *fleet.Fleet) { tested.SetFleet(listed(true)) },
+		"by its load report": func(tested *fleet.Fleet) { tested.SetLoads(loads(&wire.Load{Leaving: true})) },
+		"by its response":    func(tested *fleet.Fleet) { tested.Leaving(id) },
 	}
-	for name, act := range cases {
+	for name, action := range cases {
 		t.Run(name, func(t *testing.T) {
 			tested := newFleet(&clock{now: time.Unix(1000, 0)})
 			assert.Assert(t, !view(tested).Leaving)
-			act(tested)
+			action(tested)
 			assert.Assert(t, view(tested).Leaving)
 		})
 	}
 }
 
+// Consecutive failures eject a server. After the ejection time one probe request is sent;
+// its failure doubles the time, its success ends the ejection.
 func TestEjection(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	tested := newFleet(clock)
@@ -130,47 +136,49 @@
 	assert.Assert(t, tested.Failed(id))
 	assert.Assert(t, view(tested).Ejected)
 
-	// After the time one request goes there on trial, and no other meanwhile.
+	// After the ejection time one probe request is allowed, and no other until it ends.
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, !view(tested).Ejected)
-	trial := tested.Sent(decision(false), routing.Request{})
+	probe := tested.Sent(decision(false), routing.Request{})
 	assert.Assert(t, view(tested).Ejected)
 
-	// It fails: twice the time.
+	// The probe fails, which doubles the ejection time.
 	tested.Failed(id)
-	trial.Over()
+	probe.Over()
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, view(tested).Ejected)
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, !view(tested).Ejected)
 
-	// It succeeds: back for good.
+	// The probe succeeds, which ends the ejection.
 	tested.Sent(decision(false), routing.Request{})
 	tested.Succeeded(id)
 	assert.Assert(t, !view(tested).Ejected)
 	assert.Assert(t, !tested.Failed(id))
 }
 
+// The prefill rate is measured from short prompts only, with the tokens queued before
+// them. Small samples would measure the time of a step instead.
 func TestPrefillRate(t *testing.T) {
 	cases := map[string]struct {
 		decision routing.Decision
 		tokens   int
 		want     float64
 	}{
-		"from a short prompt with what was queued": {
+		"short prompt with queued tokens": {
 			decision: routing.Decision{Servers: []routing.Server{{ID: id, QueuedShort: 6000}}}, tokens: 4000, want: 5000,
 		},
-		"not from little work": {decision: decision(false), tokens: 1000},
-		"not from long work":   {decision: decision(true), tokens: 100_000},
+		"too few tokens": {decision: decision(false), tokens: 1000},
+		"long prompt":    {decision: decision(true), tokens: 100_000},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			clock := &clock{now: time.Unix(1000, 0)}
 			tested := newFleet(clock)
-			sending := tested.Sent(c.decision, routing.Request{Tokens: c.tokens})
+			request := tested.Sent(c.decision, routing.Request{Tokens: c.tokens})
 			clock.now = clock.now.Add(2 * time.Second)
-			sending.Computed()
-			sending.Over()
+			request.Computed()
+			request.Over()
 			assert.Equal(t, view(tested).PrefillRate, c.want)
 		})
 	}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -9,37 +9,44 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// server is what the fleet knows of one listed VM.
+// server is the state of one VM in the VM list. It is guarded by Fleet.mu.
 type server struct {
 	listed   *wire.Server
 	longRank int
-	load     *wire.Load
-	// others is the prompts that other entries wait for there: what was
-	// reported, less what this entry waited for then.
+	// load is the last reported load, or nil.
+	load *wire.Load
+	// others is the pending prefill of other entry processes: the reported tokens, less
+	// those pending for this entry process when the report arrived.
 	others pending
-	// own is the prompts that this entry waits for there.
+	// own is the pending prefill of this entry process.
 	own pending
-	// rate is the prompt tokens computed in a second, as seen from answers.
+	// prefillRate is the measured number of prompt tokens prefilled per second, or zero.
 	rate float64
-	// sent has what was sent within the report lag, oldest first.
-	sent         []sent
-	outstanding  int
-	ejection     ejection.State
+	// unreported has the requests sent within the report lag, oldest first.
+	sent []sent
+	// outstanding is the number of this entry process's requests in flight.
+	outstanding int
+	ejection    ejection.State
+	// drainingUntil is until when the server is treated as draining because it reported
+	// that it drains.
 	leavingUntil time.Time
 }
 
-// pending is prompt tokens that are not yet computed.
+// pendingPrefill is the number of prompt tokens that are not yet prefilled, of short
+// and of long prompts.
 type pending struct {
 	short int
 	long  int
 }
 
-// sent is memory that a request takes which reports do not show yet.
+// unreported is the memory, in tokens, of a request sent so recently that load reports
+// may not include it.
 type sent struct {
 	at     time.Time
 	memory int
 }
 
+// newOthers returns the pending prefill of other entry processes.
 func newOthers(load *wire.Load, own pending) pending {
 	long := int(load.GetQueuedLongTokens())            //nolint:gosec // bounded by any machine's memory
 	short := int(load.GetQueuedPrefillTokens()) - long //nolint:gosec // as above
@@ -49,10 +56,12 @@
 	}
 }
 
+// snapshot returns the server's state at now, and drops the sent requests that are
+// older than lag.
 func (server *server) view(now time.Time, lag time.Duration) routing.Server {
 	listed := server.listed
 	memory := int(listed.GetMemoryTokens()) //nolint:gosec // bounded by any machine's memory
-	view := routing.Server{
+	snapshot := routing.Server{
 		ID:          listed.GetId(),
 		Address:     listed.GetAddress(),
 		DataCentre:  listed.GetDataCentre(),
@@ -68,19 +77,20 @@
 		Ejected:     server.ejection.Ejected(now),
 	}
 	if load := server.load; load != nil {
-		view.Free = int(load.GetFreeTokens()) //nolint:gosec // as above
+		snapshot.Free = int(load.GetFreeTokens()) //nolint:gosec // as above
 	}
 	server.forget(now.Add(-lag))
-	for _, sent := range server.sent {
-		view.Free -= sent.memory
+	for _, unreported := range server.sent {
+		snapshot.Free -= unreported.memory
 	}
-	return view
+	return snapshot
 }
 
+// dropReported drops the requests sent before that time, which load reports include.
 func (server *server) forget(before time.Time) {
-	keep := slices.IndexFunc(server.sent, func(sent sent) bool { return !sent.at.Before(before) })
-	if keep < 0 {
-		keep = len(server.sent)
+	first := slices.IndexFunc(server.sent, func(unreported sent) bool { return !unreported.at.Before(before) })
+	if first < 0 {
+		first = len(server.sent)
 	}
-	server.sent = server.sent[keep:]
+	server.sent = server.sent[first:]
 }
