--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -46,8 +46,8 @@
 	return listener.Address()
 }
 
-// silent receives frames and sends none, as a suspended keeper does.
-func silent(_ context.Context, peer *link.Peer) {
+// unresponsive receives frames and sends none, as a suspended keeper does.
+func unresponsive(_ context.Context, peer *link.Peer) {
 	for peer.Receive(&wire.ClientFrame{}) == nil {
 	}
 }
@@ -101,7 +101,7 @@
 // The client must switch to another keeper after its own timeout: the idle timeout of
 // the link would delay proposals by five seconds.
 func TestProposeSwitchesFromUnresponsiveKeeper(t *testing.T) {
-	client, ctx := newClient(t, serve(t, silent), serve(t, committing))
+	client, ctx := newClient(t, serve(t, unresponsive), serve(t, committing))
 	verdict, err := client.Propose(ctx, createSession())
 	assert.NilError(t, err)
 	assert.Assert(t, verdict.Accepted)
@@ -109,7 +109,7 @@
 
 // Propose must return ErrUnsettled at its deadline if the keeper does not commit.
 func TestProposeUnsettledWithoutKeeper(t *testing.T) {
-	client, ctx := newClient(t, serve(t, silent))
+	client, ctx := newClient(t, serve(t, unresponsive))
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
 	_, err := client.Propose(ctx, createSession())
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -35,7 +35,7 @@
 	PrefillRate float64
 	// Outstanding is the number of this entry process's requests in flight to the server.
 	Outstanding int
-	// Draining is set when the server must not receive new requests.
+	// Leaving is set when the server drains, and so must not receive new requests.
 	Leaving bool
 	// Ejected is set while the server is avoided because of consecutive failures.
 	Ejected bool
@@ -77,7 +77,7 @@
 	return request.Tokens + request.MaxTokens
 }
 
-// isEligible reports whether the request may be sent to the server, regardless of
+// mayUse reports whether the request may be sent to the server, regardless of
 // load, memory and ejection.
 func (request *Request) mayUse(server *Server) bool {
 	return !server.Leaving &&
