--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,5 +1,5 @@
-// Package session is the aggregate of long-lived sessions, which operators
-// create and end.
+// Package session implements the set of sessions in the replicated state. Operators
+// create and end sessions.
 package session
 
 import (
@@ -11,39 +11,42 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Session carries an organisation's requests over hours or days.
+// Session groups requests of one organisation over hours or days.
 type Session struct {
 	ID           string
 	Organisation string
-	// Version is that of the record which created it.
+	// Version is the version of the record that created the session.
 	Version fold.Version
 }
 
-// Sessions is an immutable set of sessions.
+// Sessions is an immutable set of sessions. Create it with New or Decode.
 type Sessions struct {
-	// byID is never changed once the value is shared.
+	// byID must not be changed after the value has been returned to a caller.
 	byID map[string]Session
 }
 
-// New returns the empty set.
+// New returns an empty set.
 func New() Sessions {
 	return Sessions{byID: map[string]Session{}}
 }
 
-// Get returns the session with that ID.
+// Get returns the session with the given ID, and reports whether it exists.
 func (sessions Sessions) Get(id string) (Session, bool) {
 	session, ok := sessions.byID[id]
 	return session, ok
 }
 
-// All returns all sessions by ID.
+// All returns all sessions, sorted by ID.
 func (sessions Sessions) All() []Session {
 	return slices.SortedFunc(maps.Values(sessions.byID), func(a, b Session) int {
 		return cmp.Compare(a.ID, b.ID)
 	})
 }
 
-// With returns the set after create, if it is accepted.
+// With returns a set to which the session of a create record is added, and the
+// verdict on the record. If the record is refused, the set is unchanged: with
+// fold.ReasonMalformed if the ID or the organisation is empty, and with
+// fold.ReasonConflict if the ID exists.
 func (sessions Sessions) With(version fold.Version, create *wire.CreateSession) (Sessions, fold.Verdict) {
 	if create.GetSessionId() == "" || create.GetOrganisation() == "" {
 		return sessions, fold.Refuse(fold.ReasonMalformed)
@@ -60,14 +63,16 @@
 	return Sessions{byID: byID}, fold.Accept(version)
 }
 
-// Without returns the set after end, if it is accepted.
+// Without returns a set from which the session of an end record is removed, and the
+// verdict on the record. If the record is refused, the set is unchanged.
 func (sessions Sessions) Without(version fold.Version, end *wire.EndSession) (Sessions, fold.Verdict) {
 	created := func(session Session) fold.Version { return session.Version }
 	byID, verdict := fold.Remove(sessions.byID, end.GetSessionId(), created, end.GetExpectedVersion(), version)
 	return Sessions{byID: byID}, verdict
 }
 
-// Encode writes the sessions into state, in a fixed order.
+// Encode appends the sessions to state, sorted by ID, so that equal sets have equal
+// encodings.
 func (sessions Sessions) Encode(state *wire.State) {
 	for _, session := range sessions.All() {
 		state.Sessions = append(state.Sessions, &wire.Session{
@@ -78,7 +83,7 @@
 	}
 }
 
-// Decode returns the sessions that Encode wrote into state.
+// Decode returns the sessions that Encode appended to state.
 func Decode(state *wire.State) Sessions {
 	sessions := New()
 	for _, session := range state.GetSessions() {
