--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,20 +1,23 @@
-// Package call has the parts of one request as the gateway sees them,
-// whichever protocol the caller and the server speak.
+// Package call defines the data of one request and its response that the gateway
+// uses, independently of the protocols of callers and servers.
 package call
 
 import "time"
 
-// Head is what a caller states of a request.
+// Head is the metadata of a request, as decoded from its header.
 type Head struct {
-	// ID is the caller's, different for each of its tries.
+	// ID is the request ID that the caller chose. Each retry by the caller has
+	// another one.
 	ID string
-	// Time is how long the caller waits from now on.
+	// Time is the time until the caller deadline, or zero if the caller gave
+	// none.
 	Time time.Duration
-	// Key is empty when none was given.
+	// Key is the idempotency key, or empty if the caller gave none.
 	Key string
 	// Prompt is nil for a call to a plain service.
 	Prompt *Prompt
-	// LastEvent is the last event that the caller has of a stream, or empty.
+	// LastEvent is the ID of the last event that the caller received of a stream,
+	// or empty.
 	LastEvent string
 }
 
@@ -22,67 +25,71 @@
 type Prompt struct {
 	// Tokens is the length of the prompt.
 	Tokens int
-	// MaxTokens is the most tokens of an answer.
+	// MaxTokens is the maximum length of the response in tokens.
 	MaxTokens int
 }
 
-// Dispatch is what a server is told beside the caller's request.
+// Dispatch is the metadata that is sent to a server with the caller's request.
 type Dispatch struct {
-	// Instance is the server that may run the request.
+	// Instance is the ID of the server that may run the request.
 	Instance string
-	// Time is what is left for the request.
+	// Time is the time until the caller deadline.
 	Time time.Duration
-	// Organisation is empty for a request without a key.
+	// Organisation is the organisation of a request with a key, or empty.
 	Organisation string
-	// LastEvent is the event after which a stream goes on, or empty.
+	// LastEvent is the ID of the event after which a stream is resumed, or empty.
 	LastEvent string
-	// Helpers read parts of the prompt.
+	// Helpers are the engines that prefill parts of the prompt.
 	Helpers []Helper
-	// Urgency orders requests at an engine, the lowest first.
+	// Urgency is the scheduling priority at an engine. Requests with lower values
+	// are processed first.
 	Urgency Urgency
 }
 
-// Urgency is the rank of a request at an engine.
+// Urgency is the scheduling priority of a request at an engine.
 type Urgency int
 
 // Urgencies.
 const (
-	// UrgencyNone leaves the rank to the engine.
+	// UrgencyNone leaves the priority to the engine.
 	UrgencyNone Urgency = iota
 	UrgencyHigh
 	UrgencyNormal
 	UrgencyLow
 )
 
-// Helper is an engine that reads a part of a prompt for another.
+// Helper is an engine that prefills a part of a prompt for another engine.
 type Helper struct {
 	Address string
-	// Ticket names memory that is set aside there. It is empty when the helper
-	// only reads.
+	// Ticket is the ID of the memory reserved at the helper. It is empty if the
+	// helper only prefills.
 	Ticket string
 }
 
-// Answer is what a server says beside the status and the body.
+// Answer is the metadata of a server's response, as decoded from its status and
+// header.
 type Answer struct {
-	// ID is the request that is answered.
+	// ID is the ID of the request to which the server responds.
 	ID string
-	// NotRun says that the server did not run the request and never will.
+	// NotRun reports that the server did not run the request and never will.
 	NotRun bool
-	// Misdirected says that the address belongs to another server by now.
+	// Misdirected reports that the address now belongs to another server.
 	Misdirected bool
-	// Whole says that the answer carries the server's mark of origin.
+	// Whole reports that the response carries the seal that proves that it
+	// came from a server.
 	Whole bool
-	// AtServer is the address of the server at fault, or empty.
+	// AtServer is the address of the server that failed, or empty.
 	AtServer string
-	// Idle is how long the server keeps the connection, or zero.
+	// Idle is how long the server keeps an idle connection open, or zero if
+	// it did not advertise that.
 	Idle time.Duration
-	// Stream says that the body is a series of events.
+	// Stream reports that the body is a stream of events.
 	Stream bool
-	// Encoded says that the body is not the server's own bytes.
+	// Encoded reports that the body has a content encoding, such as compression.
 	Encoded bool
 }
 
-// FieldError says which field of a request is wrong.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field   string
 	Problem string
--- a/internal/call/notice.go
+++ b/internal/call/notice.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Notice is what a server says of itself in the head of an answer, whatever it answers. The zero value says nothing.
+// Notice is what a server reports about its own state in the header of any response. The zero value means that it
+// reports nothing.
 type Notice struct {
-	// Leaving says that the server ends soon, and wants nothing new from anybody.
+	// Leaving reports that the server shuts down soon and must get no new requests from any VM.
 	Leaving bool
-	// Rest is for how long the server wants nothing from this VM, or zero.
+	// Rest is the time for which this VM must send the server no requests, or zero.
 	Rest time.Duration
-	// Limit is how many requests the server takes from all VMs together.
+	// Limit is the rate limit that the server advertises.
 	Limit Limit
-	// Unreadable has what the server gave for a rest that is no time, or for a limit that is no number.
+	// Unreadable lists the header values that are not a valid backoff or rate limit.
 	Unreadable []string
 }
--- a/internal/call/ratelimit.go
+++ b/internal/call/ratelimit.go
@@ -1,22 +1,22 @@
 package call
 
-// LimitKind says what an answer tells of a limit on requests.
+// LimitKind is the kind of statement about a rate limit in a response.
 type LimitKind int
 
-// Kinds of limit.
+// Kinds of statement about a rate limit.
 const (
-	// LimitUnclear: nothing, or nothing that can be read. What was known before holds on.
+	// LimitUnclear means that the response contains no valid statement. The previous rate limit stays in force.
 	LimitUnclear LimitKind = iota
-	// LimitNone: the server takes as many as any other.
+	// LimitNone means that the server advertises no rate limit.
 	LimitNone
-	// LimitNamed: the server takes only so many.
+	// LimitNamed means that the server advertises a rate limit.
 	LimitNamed
 )
 
-// Limit is how many requests a server takes, as one of its answers tells it.
+// Limit is the rate limit that a server advertises in a response.
 type Limit struct {
 	Kind LimitKind
-	// PerSecond is how many requests a second the server takes from all VMs together. It is finite and not
-	// below zero, and counts for LimitNamed only.
+	// PerSecond is the number of requests per second that the server accepts from all VMs together. It is finite and
+	// not negative, and is used only if Kind is RateLimitAdvertised.
 	PerSecond float64
 }
