--- a/internal/request/outcome.go
+++ b/internal/request/outcome.go
@@ -6,20 +6,20 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// Kind says how a request ended.
+// Kind is the kind of outcome of a request, as it appears in responses.
 type Kind string
 
-// Kinds of outcome. Every admitted request ends in exactly one.
+// Kinds of outcome. Every admitted request ends with exactly one of them.
 const (
 	KindCompleted        Kind = "completed"
 	KindFailedNotRun     Kind = "failed_not_run"
 	KindFailedMayHaveRun Kind = "failed_may_have_run"
 )
 
-// Reason says why a request did not complete.
+// Reason is the reason why a request did not complete, as it appears in responses.
 type Reason string
 
-// Reasons.
+// Reasons for which requests fail. ReasonNone stands for no failure.
 const (
 	ReasonNone           Reason = ""
 	ReasonCancelled      Reason = "cancelled"
@@ -46,28 +46,30 @@
 type Outcome struct {
 	Kind   Kind   `json:"outcome"`
 	Reason Reason `json:"reason,omitempty"`
-	// RetryAfter is when to come back, if that is worth it; else zero.
+	// RetryAfter is the delay before a retry, or zero if a retry is of no use.
 	RetryAfter time.Duration `json:"-"`
-	// Server is the backend server that has the answer, if there is one.
+	// Server is the ID of the backend server that completed the request, or empty.
 	Server string `json:"-"`
 }
 
-// Completed returns the outcome of a whole answer by server.
+// Completed returns the outcome of a request that the given server completed.
 func Completed(server string) Outcome {
 	return Outcome{Kind: KindCompleted, Server: server}
 }
 
-// NotRun returns the outcome of what was certainly not run.
+// NotRun returns the outcome of a failed request that was certainly not run. A zero
+// retryAfter means that a retry is of no use.
 func NotRun(reason Reason, retryAfter time.Duration) Outcome {
 	return Outcome{Kind: KindFailedNotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// MayHaveRun returns the outcome of what may have been run.
+// MayHaveRun returns the outcome of a failed request that may have run, in part or
+// completely.
 func MayHaveRun(reason Reason) Outcome {
 	return Outcome{Kind: KindFailedMayHaveRun, Reason: reason}
 }
 
-// Wire returns the kind as it stands in records.
+// Wire returns the kind of the outcome as encoded in log records.
 func (outcome Outcome) Wire() wire.Outcome {
 	switch outcome.Kind {
 	case KindCompleted:
@@ -79,7 +81,8 @@
 	}
 }
 
-// OutcomeOf returns the outcome that a record states.
+// OutcomeOf returns the outcome that is encoded in a log record. An unknown kind is
+// decoded as one that may have run.
 func OutcomeOf(kind wire.Outcome, reason, server string) Outcome {
 	outcome := Outcome{Kind: KindFailedMayHaveRun, Reason: Reason(reason), Server: server}
 	switch kind {
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request is the aggregate of one caller's request: what is asked,
-// within which limits, and how it ended.
+// Package request defines the requests of callers, their validation and their
+// outcomes.
 package request
 
 import (
@@ -13,30 +13,38 @@
 	"github.com/mastwinch/mastwinch/internal/ledger"
 )
 
-// Mode says how a caller wants the answer.
+// Mode is the way in which a caller gets the response.
 type Mode string
 
-// Modes.
 const (
-	ModeStream   Mode = "stream"
+	// ModeStream streams the response to the submission.
+	ModeStream Mode = "stream"
+	// ModeDeferred responds to the submission at once; the caller fetches the
+	// response of the request later.
 	ModeDeferred Mode = "deferred"
 )
 
-// bytesPerToken is the estimate of a token's length that bounds and decisions
-// use; engines count for themselves.
+// bytesPerToken is the estimated length of a token, which limits and routing
+// decisions use. Engines count the tokens themselves.
 const bytesPerToken = 4
 
-// Limits bound what a caller may ask.
+// Limits are the limits for the fields of a request.
 type Limits struct {
-	MaxBodyBytes  int64         `yaml:"max_body_bytes" validate:"min=1024"`
-	MaxTokens     int           `yaml:"max_tokens" validate:"min=1"`
-	MaxTime       time.Duration `yaml:"max_time" validate:"min=1s"`
-	MinTime       time.Duration `yaml:"min_time" validate:"min=1ms"`
-	MaxKeyAhead   time.Duration `yaml:"max_key_ahead" validate:"min=0"`
-	MaxNameLength int           `yaml:"max_name_length" validate:"min=8"`
-}
-
-// DefaultLimits returns limits that fit prompts of up to a million tokens.
+	// MaxBodyBytes is the maximum size of the body of an HTTP request.
+	MaxBodyBytes int64 `yaml:"max_body_bytes" validate:"min=1024"`
+	// MaxTokens is the largest max_tokens that a caller may request.
+	MaxTokens int `yaml:"max_tokens" validate:"min=1"`
+	// MaxTime and MinTime bound the time limit that a caller may request.
+	MaxTime time.Duration `yaml:"max_time" validate:"min=1s"`
+	MinTime time.Duration `yaml:"min_time" validate:"min=1ms"`
+	// MaxKeyAhead is how far the timestamp of a key may lie in the future.
+	MaxKeyAhead time.Duration `yaml:"max_key_ahead" validate:"min=0"`
+	// MaxNameLength is the maximum length in bytes of names of models, services,
+	// sessions and organisations.
+	MaxNameLength int `yaml:"max_name_length" validate:"min=8"`
+}
+
+// DefaultLimits returns limits that allow prompts of up to a million tokens.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBodyBytes:  8 << 20,
@@ -48,39 +56,46 @@
 	}
 }
 
-// Submission is what a caller sends.
+// Submission is the body of a submitted prompt.
 type Submission struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	// TimeMS is the stated time, in milliseconds.
-	TimeMS     int64  `json:"time_ms"`
-	Repeatable *bool  `json:"repeatable"`
-	Key        string `json:"key"`
-	Session    string `json:"session"`
-	Mode       Mode   `json:"mode"`
+	// TimeMS is the time limit in milliseconds.
+	TimeMS int64 `json:"time_ms"`
+	// Repeatable states whether the request may be run more than once. Nil is
+	// invalid: callers must choose.
+	Repeatable *bool `json:"repeatable"`
+	// Key is the idempotency key. It is required exactly if Repeatable is false.
+	Key string `json:"key"`
+	// Session is the ID of a session, or empty.
+	Session string `json:"session"`
+	// Mode is ModeStream if empty.
+	Mode Mode `json:"mode"`
 }
 
 // Request is an admitted request. It is immutable.
 type Request struct {
-	// ID is "<VM>.<UUID>", the VM being the one that admitted it.
+	// ID is "<VM>.<UUID>", with the name of the VM that admitted the request.
 	ID           string
 	Organisation string
-	// Model is the model, or the name of the service for a call.
+	// Model is the name of the model, or of the service for a call.
 	Model string
-	// Service says that the request is a call to a plain service.
-	Service   bool
+	// Service reports that the request is a call to a plain service.
+	Service bool
+	// Body is the prompt, or the body of a call.
 	Body      []byte
 	MaxTokens int
-	Time      time.Duration
-	// Key is set exactly when Repeatable is false.
+	// Time is the time limit, from admission to outcome.
+	Time time.Duration
+	// Key is set exactly if Repeatable is false.
 	Key        ledger.Key
 	Repeatable bool
 	Session    string
 	Mode       Mode
 }
 
-// FieldError says what is wrong with one field of a submission.
+// FieldError reports an invalid field of a request. It is part of HTTP responses.
 type FieldError struct {
 	Field   string `json:"field"`
 	Problem string `json:"problem"`
@@ -91,19 +106,20 @@
 	return e.Field + ": " + e.Problem
 }
 
-// New checks a submission and returns the request that vm admits.
+// New validates a submission and returns the request, with a new ID of vm. The
+// request is valid only if there are no errors.
 func New(vm, organisation string, submission Submission, limits Limits, now time.Time) (Request, []FieldError) {
-	check := &checker{limits: limits}
-	check.name("model", submission.Model, true)
-	check.name("session", submission.Session, false)
-	check.that(submission.Prompt != "", "prompt", "must not be empty")
-	check.that(submission.MaxTokens >= 1 && submission.MaxTokens <= limits.MaxTokens, "max_tokens",
+	checker := &checker{limits: limits}
+	checker.name("model", submission.Model, true)
+	checker.name("session", submission.Session, false)
+	checker.that(submission.Prompt != "", "prompt", "must not be empty")
+	checker.that(submission.MaxTokens >= 1 && submission.MaxTokens <= limits.MaxTokens, "max_tokens",
 		fmt.Sprintf("must be from 1 to %d, is %d", limits.MaxTokens, submission.MaxTokens))
 	mode := submission.Mode
 	if mode == "" {
 		mode = ModeStream
 	}
-	check.that(mode == ModeStream || mode == ModeDeferred, "mode",
+	checker.that(mode == ModeStream || mode == ModeDeferred, "mode",
 		fmt.Sprintf("must be %s or %s, is %q", ModeStream, ModeDeferred, mode))
 	request := Request{
 		ID:           NewID(vm),
@@ -114,22 +130,24 @@
 		Session:      submission.Session,
 		Mode:         mode,
 	}
-	return check.repetition(request, submission.TimeMS, submission.Repeatable, submission.Key, now), check.errors
+	return checker.repetition(request, submission.TimeMS, submission.Repeatable, submission.Key, now), checker.errors
 }
 
-// Call is a call to a plain service.
+// Call is the body of a submitted call to a plain service.
 type Call struct {
 	Body string `json:"body"`
-	// TimeMS is the stated time, in milliseconds.
-	TimeMS     int64  `json:"time_ms"`
+	// TimeMS is the time limit in milliseconds.
+	TimeMS int64 `json:"time_ms"`
+	// Repeatable and Key are as in Submission.
 	Repeatable *bool  `json:"repeatable"`
 	Key        string `json:"key"`
 }
 
-// NewCall checks a call to service and returns the request that vm admits.
+// NewCall validates a call to a service and returns the request, with a new ID of
+// vm. The request is valid only if there are no errors.
 func NewCall(vm, organisation, service string, call Call, limits Limits, now time.Time) (Request, []FieldError) {
-	check := &checker{limits: limits}
-	check.name("service", service, true)
+	checker := &checker{limits: limits}
+	checker.name("service", service, true)
 	request := Request{
 		ID:           NewID(vm),
 		Organisation: organisation,
@@ -138,15 +156,16 @@
 		Body:         []byte(call.Body),
 		Mode:         ModeStream,
 	}
-	return check.repetition(request, call.TimeMS, call.Repeatable, call.Key, now), check.errors
+	return checker.repetition(request, call.TimeMS, call.Repeatable, call.Key, now), checker.errors
 }
 
-// NewID returns a new request ID of vm.
+// NewID returns a new, unique request ID that contains the name of vm.
 func NewID(vm string) string {
 	return vm + "." + uuid.NewString()
 }
 
-// OwnerOf returns the VM that made a request ID.
+// OwnerOf returns the name of the VM that is contained in a request ID. It returns a
+// *FieldError if id is not a request ID.
 func OwnerOf(id string) (string, error) {
 	vm, unique, found := strings.Cut(id, ".")
 	if !found || vm == "" || uuid.Validate(unique) != nil {
@@ -155,18 +174,20 @@
 	return vm, nil
 }
 
-// Tokens is the estimated length of the prompt.
+// Tokens returns the estimated length of the prompt in tokens.
 func (request Request) Tokens() int {
 	return (len(request.Body) + bytesPerToken - 1) / bytesPerToken
 }
 
-// WithoutBody returns the request without what is to be run, for keeping.
+// WithoutBody returns a copy of the request without its body, which saves memory
+// while the request is stored.
 func (request Request) WithoutBody() Request {
 	request.Body = nil
 	return request
 }
 
-// Digest identifies what is to be run.
+// Digest returns a hash of the content of the request. Two submissions of one key
+// must have the same digest.
 func (request Request) Digest() uint64 {
 	digest := xxhash.New()
 	_, _ = fmt.Fprintf(digest, "%q %q %d ", request.Organisation, request.Model, request.MaxTokens)
@@ -174,7 +195,7 @@
 	return digest.Sum64()
 }
 
-// checker collects what is wrong with a submission.
+// checker collects the errors found in a request.
 type checker struct {
 	limits Limits
 	errors []FieldError
@@ -197,7 +218,8 @@
 	return r < ' ' || r > '~'
 }
 
-// repetition adds to request the stated time, and whether it may be repeated.
+// repetition validates the time limit, the repeatability and the key, and returns
+// the request with them.
 func (checker *checker) repetition(
 	request Request, timeMS int64, repeatable *bool, key string, now time.Time,
 ) Request {
