--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -23,7 +23,7 @@
 
 // Prompt describes a prompt for a model engine.
 type Prompt struct {
-	// Tokens is the length of the prompt.
+	// Tokens is the length of the prompt in tokens.
 	Tokens int
 	// MaxTokens is the maximum length of the response in tokens.
 	MaxTokens int
@@ -49,7 +49,7 @@
 // Urgency is the scheduling priority of a request at an engine.
 type Urgency int
 
-// Urgencies.
+// Values of Urgency. Engines process UrgencyHigh first.
 const (
 	// UrgencyNone leaves the priority to the engine.
 	UrgencyNone Urgency = iota
