--- a/internal/entry/adopt.go
+++ b/internal/entry/adopt.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// located is an engine that holds a stream of a request.
+// located is the engine and the attempt of a stream.
 type located struct {
 	server *wire.Server
 	// attempt is the number of the attempt, and id the ID of the attempt.
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -149,12 +149,12 @@
 		frame, err := stream.Next()
 		if err != nil {
 			losses++
-			reopened, failure := forwarder.reopen(ctx, source, losses, err)
+			resumed, failure := forwarder.reopen(ctx, source, losses, err)
 			if failure != nil {
 				return *failure
 			}
 			stream.Close()
-			stream = reopened
+			stream = resumed
 			continue
 		}
 		losses = 0
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -311,8 +311,7 @@
 	return cluster.mutant.answer(dispatch.Body), nil
 }
 
-// submit sends a call with a key, and records the response. A call is a request
-// that is not repeatable.
+// submit sends a call with a key, which is not repeatable, and records the response.
 func (cluster *world) submit(i, key int, timeLimit time.Duration) {
 	node := cluster.nodes[i]
 	value := testKey(key)
--- a/internal/entry/forwarder.go
+++ b/internal/entry/forwarder.go
@@ -63,8 +63,8 @@
 func (entry *Entry) start(admitted request.Request, release func()) *active {
 	now := entry.now()
 	deadline := now.Add(admitted.Time)
-	cancellable, cancel := context.WithCancelCause(entry.life)
-	ctx, stop := context.WithDeadline(cancellable, deadline.Add(-margin(admitted.Time)))
+	cancellableCtx, cancel := context.WithCancelCause(entry.life)
+	ctx, stop := context.WithDeadline(cancellableCtx, deadline.Add(-margin(admitted.Time)))
 	started := &active{
 		request:  admitted,
 		buffer:   relay.NewBuffer(0, now),
@@ -245,8 +245,8 @@
 	reason request.Reason
 	// server is the ID of the server that responded or failed.
 	server string
-	// lost reports that the connection to the server broke and could not be re-established; receivedToken reports that
-	// tokens of this attempt were received before.
+	// lost reports that the connection to the server broke and could not be re-established;
+	// receivedToken reports that tokens of this attempt were received before.
 	lost, ran bool
 	err       error
 }
--- a/internal/entry/promises_test.go
+++ b/internal/entry/promises_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// play applies commands to a new test cluster, ends all faults, waits until all
-// calls have ended, and returns the first violated guarantee.
+// play applies commands to a new test cluster, ends the log outage and all pauses,
+// waits until all calls have ended, and returns the first violated guarantee.
 func play(t *testing.T, commands []command, mutant mutant) (violation error) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
--- a/internal/entry/reservations.go
+++ b/internal/entry/reservations.go
@@ -12,8 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// renewPart is the divisor of a lease that gives the time after which it is
-// renewed.
+// renewPart is the divisor of the lease that yields the interval of renewals.
 const renewPart = 3
 
 // reservations is the memory reserved for one attempt at a group of engines. While
