--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -1,5 +1,6 @@
-// Package metastore stands in for the users' platform's store: keyed topics
-// with a log each, spoken over its published protocol, with its faults.
+// Package metastore simulates the platform's metadata store for tests: an HTTP
+// server of keyed topics with a log each that implements the store's published
+// protocol, with switchable faults.
 package metastore
 
 import (
@@ -14,62 +15,67 @@
 	"time"
 )
 
-// Fault is how the store misbehaves.
+// Fault is a failure mode of the store.
 type Fault string
 
-// Faults.
+// Failure modes of the store; FaultNone is normal operation.
 const (
 	FaultNone Fault = ""
-	// FaultBusy answers 503 and does nothing.
+	// FaultBusy responds 503 without executing the call.
 	FaultBusy Fault = "busy"
-	// FaultSilent takes calls and says nothing.
+	// FaultNoResponse accepts calls and doesn't respond until the fault changes,
+	// then closes the connection.
 	FaultSilent Fault = "silent"
-	// FaultReset closes connections without an answer.
+	// FaultReset closes the connection without executing the call.
 	FaultReset Fault = "reset"
-	// FaultLost does what is asked and closes without an answer.
+	// FaultLostResponse executes appends but closes the connection without a
+	// response. Reads succeed.
 	FaultLost Fault = "lost"
 )
 
-// Sizes of the raw form.
+// Limits of the store, and sizes of its binary encoding of records.
 const (
 	lengthBytes = 4
-	// pageItems is the most items of a page of newest records.
+	// pageItems is the maximum number of items in a page of newest records.
 	pageItems = 500
-	// maxCallBytes bounds the body of a call.
+	// maxCallBytes is the maximum size of a call's body.
 	maxCallBytes = 2 << 20
 )
 
 // record is one record of a keyed topic.
 type record struct {
 	key string
-	// value is empty when the key was dropped.
+	// value is empty if the record deletes the key.
 	value []byte
 }
 
-// topic is the only partition of a topic.
+// topic is a topic's log, which has a single partition, and its latest records by key.
 type topic struct {
-	// first is the offset of the oldest record kept.
+	// first is the offset of the oldest retained record.
 	first   int64
 	records []record
-	newest  map[string]int64
-	values  map[string][]byte
+	// newest has the offset of the latest record of each key, and values the
+	// value of each key that isn't deleted.
+	newest map[string]int64
+	values map[string][]byte
 }
 
 func (topic *topic) end() int64 {
 	return topic.first + int64(len(topic.records))
 }
 
-// Store is a stand-in for the platform's store.
+// Store is a simulated platform store. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// era is how often it came back older than it was.
+	// era is the number of rollbacks.
 	era   int64
 	fault Fault
 	calls int
-	// changed is closed, and replaced, when a record was added.
+	// changed is closed and replaced when a record is added or the store is
+	// rolled back.
 	changed chan struct{}
-	// healed is closed when a silent store speaks again.
+	// faultChanged is closed and replaced when the fault is set.
 	healed chan struct{}
 }
 
@@ -80,7 +86,7 @@
 	return &Store{topics: make(map[string]*topic), changed: make(chan struct{}), healed: make(chan struct{})}
 }
 
-// SetFault makes the store misbehave from now on.
+// SetFault replaces the failure mode for subsequent calls.
 func (store *Store) SetFault(fault Fault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -89,21 +95,21 @@
 	store.healed = make(chan struct{})
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of HTTP calls received, including failed ones.
 func (store *Store) Calls() int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.calls
 }
 
-// Put adds a record; an empty value drops the key.
+// Put appends a record to the named topic. An empty value deletes the key.
 func (store *Store) Put(name, key string, value []byte) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.put(name, record{key: key, value: value})
 }
 
-// Trim forgets the history of a topic. The newest records stay.
+// Trim removes all records from a topic's log. The latest value of each key is kept.
 func (store *Store) Trim(name string) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -112,7 +118,7 @@
 	topic.records = nil
 }
 
-// Keys returns the keys of a topic in order.
+// Keys returns the keys of the named topic in ascending order, without deleted ones.
 func (store *Store) Keys(name string) []string {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -151,15 +157,15 @@
 
 // ServeHTTP implements http.Handler.
 func (store *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	// The body is read first, since net/http does not notice a caller that
-	// leaves before.
+	// The body is read first because net/http doesn't detect that the client
+	// has disconnected before the body is read.
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxCallBytes))
 	if err != nil {
 		return
 	}
 	store.mu.Lock()
 	store.calls++
-	fault, healed := store.fault, store.healed
+	fault, faultChanged := store.fault, store.healed
 	store.mu.Unlock()
 	writer = &dated{ResponseWriter: writer, store: store}
 	switch fault {
@@ -170,7 +176,7 @@
 		panic(http.ErrAbortHandler)
 	case FaultSilent:
 		select {
-		case <-healed:
+		case <-faultChanged:
 		case <-request.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
@@ -198,12 +204,12 @@
 		MorePages bool   `json:"more_pages"`
 		End       int64  `json:"end"`
 	}{Items: []item{}}
-	since := request.URL.Query().Get("since_rev")
+	lastKey := request.URL.Query().Get("since_rev")
 	store.mu.Lock()
 	topic := store.topic(request.URL.Query().Get("topic"))
 	page.End = topic.end()
 	for _, key := range topic.keys() {
-		if key <= since {
+		if key <= lastKey {
 			continue
 		}
 		if len(page.Items) == pageItems {
@@ -277,8 +283,8 @@
 }
 
 func writeRecords(writer http.ResponseWriter, end, first int64, records []record) {
-	raw := binary.BigEndian.AppendUint64(nil, uint64(end))  //nolint:gosec // an offset
-	raw = binary.BigEndian.AppendUint64(raw, uint64(first)) //nolint:gosec // an offset
+	raw := binary.BigEndian.AppendUint64(nil, uint64(end))  //nolint:gosec // offsets aren't negative
+	raw = binary.BigEndian.AppendUint64(raw, uint64(first)) //nolint:gosec // offsets aren't negative
 	for _, record := range records {
 		length := 1 + len(record.key) + len(record.value)
 		raw = binary.BigEndian.AppendUint32(raw, uint32(length)) //nolint:gosec // bounded by maxCallBytes
@@ -286,11 +292,11 @@
 		raw = append(raw, record.key...)
 		raw = append(raw, record.value...)
 	}
-	_, _ = writer.Write(raw) // a caller that is gone needs no answer
+	_, _ = writer.Write(raw) // fails only if the client has disconnected
 }
 
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // as above
+	_ = json.NewEncoder(writer).Encode(value) // fails only if the client has disconnected
 }
--- /dev/null
+++ b/internal/standin/metastore/snapshot.go
@@ -0,0 +1,75 @@
+package metastore
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+)
+
+// headerEra is the response header with the number of rollbacks of the store so far.
+const headerEra = "Store-Era"
+
+// Snapshot is a copy of the store's contents at one point in time.
+type Copy struct {
+	topics map[string]*topic
+}
+
+// Snapshot returns a copy of the store's current contents.
+func (store *Store) Copy() Copy {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	return Copy{topics: cloneTopics(store.topics)}
+}
+
+// Restore rolls the store back to a snapshot: later writes are lost, their offsets are assigned again, and the era
+// is incremented.
+func (store *Store) Return(snapshot Copy) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.topics = cloneTopics(snapshot.topics)
+	store.era++
+	close(store.changed)
+	store.changed = make(chan struct{})
+}
+
+func cloneTopics(topics map[string]*topic) map[string]*topic {
+	cloned := make(map[string]*topic, len(topics))
+	for name, original := range topics {
+		cloned[name] = &topic{
+			first: original.first, records: slices.Clone(original.records),
+			newest: maps.Clone(original.newest), values: maps.Clone(original.values),
+		}
+	}
+	return cloned
+}
+
+// eraWriter adds the store's era to the response header, as of the time when the response is written.
+type dated struct {
+	http.ResponseWriter
+
+	store   *Store
+	written bool
+}
+
+// WriteHeader implements http.ResponseWriter.
+func (eraWriter *dated) WriteHeader(status int) {
+	eraWriter.date()
+	eraWriter.ResponseWriter.WriteHeader(status)
+}
+
+// Write implements http.ResponseWriter.
+func (eraWriter *dated) Write(data []byte) (int, error) {
+	eraWriter.date()
+	return eraWriter.ResponseWriter.Write(data) //nolint:wrapcheck // the writer's own errors
+}
+
+func (eraWriter *dated) date() {
+	if eraWriter.written {
+		return
+	}
+	eraWriter.written = true
+	eraWriter.store.mu.Lock()
+	defer eraWriter.store.mu.Unlock()
+	eraWriter.Header().Set(headerEra, strconv.FormatInt(eraWriter.store.era, 10))
+}
