--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist stands in for the platform's list of VMs. A change shows in
-// the list only after a lag.
+// Package vmlist simulates the platform's HTTP API that lists VMs. A change
+// becomes visible only after a configured lag.
 package vmlist
 
 import (
@@ -14,31 +14,33 @@
 	"github.com/mastwinch/mastwinch/internal/infra"
 )
 
-// Faults that can be switched while the list runs.
+// Faults are failure modes that can be changed at run time.
 type Faults struct {
-	// Outage makes every call fail.
+	// Outage makes every call fail with status 503.
 	Outage bool `json:"outage"`
-	// Frozen keeps showing the list as it was.
+	// Frozen serves the list as it was when the fault was set, without later changes.
 	Frozen bool `json:"frozen"`
 }
 
-// VMList is the stand-in.
+// VMList is a simulated VM list. It is safe for concurrent use.
 type VMList struct {
 	lag time.Duration
 
 	mu     sync.Mutex
 	faults Faults
 	frozen []infra.VM
-	// history has the changed lists, oldest first.
+	// history has the versions of the list, oldest first, from the one currently
+	// visible.
 	history []version
 }
 
+// version is the list as it was changed at one time.
 type version struct {
 	since time.Time
 	vms   []infra.VM
 }
 
-// New returns a list that shows vms, and changes after lag.
+// New returns a list of the given VMs whose changes become visible after lag.
 func New(lag time.Duration, vms []infra.VM) *VMList {
 	return &VMList{
 		lag:     lag,
@@ -46,26 +48,26 @@
 	}
 }
 
-// Register adds the route of the list to router.
+// Register adds the list's HTTP route to router.
 func (vmlist *VMList) Register(router *mux.Router) {
 	router.HandleFunc("/v1/vms", vmlist.handleList).Methods(http.MethodGet)
 }
 
-// Put adds vm, or replaces the one with its ID.
+// Put adds a VM, or replaces the one with the same ID.
 func (vmlist *VMList) Put(vm infra.VM) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
 		return append(without(vms, vm.ID), vm)
 	})
 }
 
-// Remove takes the VM with that ID from the list.
+// Remove removes the VM with the given ID, if there is one.
 func (vmlist *VMList) Remove(id string) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
 		return without(vms, id)
 	})
 }
 
-// Leave marks the VM with that ID as leaving.
+// MarkDraining marks the VM with the given ID as draining.
 func (vmlist *VMList) Leave(id string) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
 		changed := slices.Clone(vms)
@@ -76,7 +78,7 @@
 	})
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (vmlist *VMList) SetFaults(faults Faults) {
 	vmlist.mu.Lock()
 	defer vmlist.mu.Unlock()
@@ -93,7 +95,8 @@
 	vmlist.history = append(vmlist.history, version{since: time.Now(), vms: apply(latest)})
 }
 
-// visible returns the newest list that is older than the lag.
+// visible returns the newest list that is older than the lag, or the initial
+// list. It drops older versions. The caller must hold the mutex.
 func (vmlist *VMList) visible() []infra.VM {
 	cutoff := time.Now().Add(-vmlist.lag)
 	for len(vmlist.history) > 1 && vmlist.history[1].since.Before(cutoff) {
