--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,5 +1,6 @@
-// Package logservice stands in for the platform's log service: streams of
-// entries with offsets, a limited rate, retention, and faults.
+// Package logservice simulates the platform's log service: append-only streams
+// of entries with offsets, a rate limit, time-based retention, and switchable
+// faults.
 package logservice
 
 import (
@@ -19,37 +20,38 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Bounds of the service.
+// Limits of the service: the size of an entry, the entries in a page, and the
+// duration of a blocking read.
 const (
 	maxEntryBytes = 1 << 20
 	maxPage       = 512
 	maxWait       = 30 * time.Second
 )
 
-// Settings of the service.
+// Settings configures the service.
 type Settings struct {
-	// AppendsPerSecond is the rate over all streams.
+	// AppendsPerSecond is the rate limit of appends to all streams together.
 	AppendsPerSecond float64 `yaml:"appends_per_second" validate:"gt=0"`
-	// Retention is how long an entry is held.
+	// Retention is the time after which an entry is removed.
 	Retention time.Duration `yaml:"retention" validate:"min=100ms"`
-	// AppendDelay is how long an append takes.
+	// AppendDelay is the latency of an append.
 	AppendDelay time.Duration `yaml:"append_delay" validate:"min=0"`
 }
 
-// Faults that can be switched while the service runs.
+// Faults are failure modes that can be changed at run time.
 type Faults struct {
 	// Outage makes every call fail.
 	Outage bool `json:"outage"`
-	// LostAnswers is the part of appends that take effect but whose answer
-	// is an error, from 0 to 1.
+	// LostResponses is the fraction (0 to 1) of appends that take effect but
+	// return an error.
 	LostAnswers float64 `json:"lost_answers"`
-	// LateAppends is the part of appends that are answered with an error at
-	// once and take effect after LateBy.
+	// LateAppends is the fraction (0 to 1) of appends that return an error
+	// immediately and take effect after LateByMS milliseconds.
 	LateAppends float64 `json:"late_appends"`
 	LateByMS    int64   `json:"late_by_ms"`
 }
 
-// LogService is the stand-in.
+// LogService is a simulated log service. It is safe for concurrent use.
 type LogService struct {
 	settings Settings
 	limiter  *rate.Limiter
@@ -59,21 +61,23 @@
 	streams map[string]*stream
 }
 
-// stream is one stream of entries.
+// stream is an append-only log.
 type stream struct {
-	// entries has consecutive offsets, the first of which is first.
+	// entries are the retained entries. Their offsets are consecutive and start
+	// at first.
 	entries []entry
 	first   uint64
-	// grown is closed, and replaced, when an entry is added.
+	// entryAdded is closed and replaced when an entry is added.
 	grown chan struct{}
 }
 
+// entry is the data of one append.
 type entry struct {
 	data     []byte
 	appended time.Time
 }
 
-// New returns a service without entries.
+// New returns a service without streams. A stream is created when it is first used.
 func New(settings Settings) *LogService {
 	burst := max(1, int(settings.AppendsPerSecond/10))
 	return &LogService{
@@ -83,20 +87,22 @@
 	}
 }
 
-// Register adds the routes of the service to router.
+// Register adds the service's HTTP routes to router.
 func (logservice *LogService) Register(router *mux.Router) {
 	router.HandleFunc("/v1/log/{stream}", logservice.handleAppend).Methods(http.MethodPost)
 	router.HandleFunc("/v1/log/{stream}", logservice.handleRead).Methods(http.MethodGet)
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (logservice *LogService) SetFaults(faults Faults) {
 	logservice.mu.Lock()
 	defer logservice.mu.Unlock()
 	logservice.faults = faults
 }
 
-// Append adds an entry to the stream named name, subject to the faults.
+// Append adds an entry to the named stream. It returns false if the append
+// exceeds the rate limit, is cancelled, or is reported as failed because of a
+// fault; in the latter case it may still take effect.
 func (logservice *LogService) Append(ctx context.Context, name string, data []byte) bool {
 	if !logservice.limiter.Allow() {
 		return false
@@ -110,26 +116,28 @@
 	switch {
 	case faults.Outage:
 		return false
-	case rand.Float64() < faults.LateAppends: //nolint:gosec // no secret
+	case rand.Float64() < faults.LateAppends: //nolint:gosec // not security-relevant
 		delay := time.Duration(faults.LateByMS) * time.Millisecond
 		time.AfterFunc(delay, func() { logservice.add(name, data) })
 		return false
 	}
 	logservice.addLocked(name, data)
-	return rand.Float64() >= faults.LostAnswers //nolint:gosec // no secret
+	return rand.Float64() >= faults.LostAnswers //nolint:gosec // not security-relevant
 }
 
-// Read returns a page from offset from on, and false in an outage.
+// Read returns a page of entries from the given offset. If there are none yet,
+// it waits for an entry for up to the given time. It returns false during an
+// outage.
 func (logservice *LogService) Read(ctx context.Context, name string, from uint64, wait time.Duration) (infra.Page, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		page, grown, ok := logservice.page(name, from)
+		page, entryAdded, ok := logservice.page(name, from)
 		if !ok || len(page.Entries) > 0 || from < page.First {
 			return page, ok
 		}
 		select {
-		case <-grown:
+		case <-entryAdded:
 		case <-timeout.C:
 			return page, true
 		case <-ctx.Done():
@@ -138,6 +146,8 @@
 	}
 }
 
+// page returns the entries available from the given offset, a channel that is
+// closed when an entry is added, and false during an outage.
 func (logservice *LogService) page(name string, from uint64) (infra.Page, <-chan struct{}, bool) {
 	logservice.mu.Lock()
 	defer logservice.mu.Unlock()
@@ -176,10 +186,12 @@
 	return found
 }
 
+// next returns the offset of the next entry to be added.
 func (stream *stream) next() uint64 {
 	return stream.first + uint64(len(stream.entries))
 }
 
+// expire removes entries that were appended before the given time.
 func (stream *stream) expire(before time.Time) {
 	for len(stream.entries) > 0 && stream.entries[0].appended.Before(before) {
 		stream.entries = stream.entries[1:]
