--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service stands in for a plain service, such as one that prints fee
-// receipts. It counts what it really ran.
+// Package service simulates a plain service, a backend server that isn't a model
+// engine, such as one that prints fee receipts. It returns the body of each call
+// and records the calls that it executed.
 package service
 
 import (
@@ -16,16 +17,17 @@
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 )
 
-// maxBodyBytes bounds the body of a call.
+// maxBodyBytes is the maximum size of a call's body.
 const maxBodyBytes = 1 << 20
 
-// Faults that can be switched while the service runs.
+// Faults are failure modes that can be changed at run time.
 type Faults struct {
-	// LoseAnswers makes calls take effect and then drop the connection.
+	// LoseResponses makes the service execute calls and then close the
+	// connection without a response.
 	LoseAnswers bool `json:"lose_answers"`
 }
 
-// Service is the stand-in for one plain service.
+// Service is a simulated plain service. It is safe for concurrent use.
 type Service struct {
 	id            string
 	checksFencing bool
@@ -35,11 +37,13 @@
 	mu      sync.Mutex
 	faults  Faults
 	leaving bool
-	// fences has the highest token seen for a key.
+	// fences has the highest fencing token seen for each organisation and key.
 	fences map[string]uint64
 }
 
-// New returns a service whose calls take duration.
+// New returns a service whose calls take the given duration. Executed calls are
+// added to executions. With checksFencing, calls whose fencing token is older
+// than an earlier one for the same key are refused.
 func New(id string, checksFencing bool, duration time.Duration, executions *execution.Log) *Service {
 	return &Service{
 		id:            id,
@@ -50,21 +54,21 @@
 	}
 }
 
-// Handler returns the HTTP interface of the service.
+// Handler returns the service's HTTP handler.
 func (service *Service) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/calls", service.handleCall).Methods(http.MethodPost)
 	return router
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (service *Service) SetFaults(faults Faults) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.faults = faults
 }
 
-// Leave makes the service refuse new calls.
+// Drain makes the service refuse new calls; calls in flight finish.
 func (service *Service) Leave() {
 	service.mu.Lock()
 	defer service.mu.Unlock()
@@ -91,15 +95,15 @@
 	})
 	time.Sleep(service.duration)
 	service.mu.Lock()
-	lose := service.faults.LoseAnswers
+	loseResponse := service.faults.LoseAnswers
 	service.mu.Unlock()
-	if lose {
+	if loseResponse {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write(body)
 }
 
-// check returns why a call is refused, or nil.
+// check returns the reason why a call is refused, or nil if it is accepted.
 func (service *Service) check(header http.Header) *backend.Refusal {
 	service.mu.Lock()
 	defer service.mu.Unlock()
@@ -110,11 +114,11 @@
 	if !service.checksFencing || key == "" {
 		return nil
 	}
-	fence, _ := strconv.ParseUint(header.Get(backend.HeaderFence), 10, 64)
-	scoped := header.Get(backend.HeaderOrganisation) + "\x00" + key
-	if fence < service.fences[scoped] {
+	token, _ := strconv.ParseUint(header.Get(backend.HeaderFence), 10, 64)
+	scopedKey := header.Get(backend.HeaderOrganisation) + "\x00" + key
+	if token < service.fences[scopedKey] {
 		return &backend.Refusal{Reason: "fencing token is old", NotRun: true}
 	}
-	service.fences[scoped] = fence
+	service.fences[scopedKey] = token
 	return nil
 }
