--- a/internal/standin/execution/execution.go
+++ b/internal/standin/execution/execution.go
@@ -1,10 +1,10 @@
-// Package execution records what stand-ins for backend servers really ran, so
-// that a check can compare it with what callers were told.
+// Package execution records the requests that simulated backend servers
+// executed, so that tests can compare them with the outcomes reported to callers.
 package execution
 
 import "sync"
 
-// Execution is one run of a request.
+// Execution is one execution of a request by a backend server.
 type Execution struct {
 	Attempt      string `json:"attempt"`
 	Request      string `json:"request"`
@@ -13,7 +13,7 @@
 	Server       string `json:"server"`
 }
 
-// Log is a record of executions for use by many goroutines.
+// Log is a list of executions. It is safe for concurrent use.
 type Log struct {
 	mu         sync.Mutex
 	executions []Execution
@@ -24,14 +24,15 @@
 	return &Log{}
 }
 
-// Add records one execution.
+// Add appends an execution.
 func (log *Log) Add(execution Execution) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.executions = append(log.executions, execution)
 }
 
-// All returns the executions so far, in order.
+// All returns the executions so far, in the order in which they were added. The
+// caller must not change the elements.
 func (log *Log) All() []Execution {
 	log.mu.Lock()
 	defer log.mu.Unlock()
