--- a/internal/standin/platformserver/doc.go
+++ b/internal/standin/platformserver/doc.go
@@ -1,5 +1,5 @@
-// Package platformserver stands in for the users' backend servers, model engines
-// and plain services, as they speak on their platform: by the published protocol
-// and formulas, with the faults that their pages name. It keeps a record of what
-// ran, so that a test can compare it with what callers were told.
+// Package platformserver simulates the platform's backend servers, model engines
+// and plain services, for tests. They implement the published protocol and timing
+// formulas, with the documented faults. A record of the requests that ran lets a
+// test compare them with the outcomes reported to callers.
 package platformserver
--- a/internal/standin/platformserver/engine.go
+++ b/internal/standin/platformserver/engine.go
@@ -10,32 +10,34 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Fleet finds engines by their addresses, for prompts that several read.
+// Fleet has the engines by address, for prompts whose prefill is divided among
+// several engines. It is safe for concurrent use.
 type Fleet struct {
 	mu      sync.Mutex
 	engines map[string]*Engine
 }
 
-// NewFleet returns a fleet without engines.
+// NewFleet returns a fleet without engines; NewEngine adds them.
 func NewFleet() *Fleet {
 	return &Fleet{engines: make(map[string]*Engine)}
 }
 
+// add adds an engine, or replaces the one at the same address.
 func (fleet *Fleet) set(address string, engine *Engine) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.engines[address] = engine
 }
 
-// at returns the engine at an address, or nil.
+// engineAt returns the engine at an address, or nil.
 func (fleet *Fleet) at(address string) *Engine {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.engines[address]
 }
 
-// Engine is a model engine. It proceeds in passes over all that it reads and
-// writes.
+// Engine is a simulated model engine with continuous batching: each pass
+// advances the prefill and the decoding of all running requests.
 type Engine struct {
 	*front
 
@@ -43,55 +45,66 @@
 	fleet *Fleet
 
 	passMu sync.Mutex
-	// waiting has the requests that are not admitted, and running the others, in
-	// the order of admission.
+	// queued has the requests that aren't admitted yet, and running the admitted
+	// ones in the order of admission.
 	waiting []*generation
 	running []*generation
-	// parts has what is read, helpers' parts before others.
-	parts   []*part
+	// prefills has the prefills in progress in order of priority. Those for other
+	// engines come first.
+	parts []*part
+	// reservations has the reservations by ticket.
 	tickets map[string]*ticket
 	dead    bool
-	// wake has an element when there is something to do.
+	// wake has an element when there may be work.
 	wake chan struct{}
 }
 
-// part is the reading of a prompt, or of a part of it, at one engine.
+// prefill is the prefill of a prompt or of a part of it at one engine.
 type part struct {
 	tokens int
 	done   int
-	// pairsShare scales the pairs of the part to its share of the whole prompt's.
+	// pairsShare scales the token pairs of the part to its share of the pairs of
+	// the whole prompt.
 	pairsShare float64
-	helps      bool
-	read       chan struct{}
-	// first is the engine that waits for it.
+	// isHelp reports whether the prefill is for another engine's request.
+	helps bool
+	// finished is closed at the end of the prefill.
+	read chan struct{}
+	// requester is the engine whose request the prefill is for.
 	first *Engine
 }
 
-// generation is one request at its first engine.
+// generation is a request at the engine that received it and decodes it.
 type generation struct {
 	prompt   int
 	total    int
 	urgency  int
-	reserved int // tokens of the prompt that lie in tickets
-	spread   bool
-	written  int
-	own      *part
-	// others has the parts that helpers read.
+	reserved int // prompt tokens stored in reservations
+	// hasSpreadMemory reports whether the prompt uses reservations, which are
+	// usually at several engines.
+	spread  bool
+	written int
+	own     *part
+	// helperPrefills has the parts of the prefill at the helpers.
 	others  []*part
 	helpers []*Engine
-	// admitted is closed when it has a slot and memory, and events gets the
-	// number of each event as it is written.
+	// admitted is closed when the request gets a slot and memory. events receives
+	// the number of each event when it is generated, and is closed after the last.
 	admitted chan struct{}
 	events   chan int
-	gone     bool
+	// ended reports that the handler has returned or a reservation has expired,
+	// so the request is to be dropped.
+	gone bool
 }
 
-// memory is what the generation takes at its first engine, tickets left out.
+// memory returns the tokens of KV memory that the generation uses at its own
+// engine, without reservations.
 func (generation *generation) memory() int {
 	return generation.prompt - generation.reserved + generation.written
 }
 
-// NewEngine returns an engine that works until ctx is done.
+// NewEngine returns an engine that has been added to the fleet and runs until ctx
+// is done. The seed determines which requests are affected by faults.
 func NewEngine(ctx context.Context, identity Identity, model Model, fleet *Fleet, record *Record, seed uint64) *Engine {
 	engine := &Engine{
 		front: newFront(identity, record, seed), model: model, fleet: fleet,
@@ -102,7 +115,7 @@
 	return engine
 }
 
-// Kill ends the engine, with all that it holds.
+// Kill stops the engine's computation for good and drops its reservations.
 func (engine *Engine) Kill() {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
@@ -110,6 +123,7 @@
 	engine.tickets = make(map[string]*ticket)
 }
 
+// signal wakes the engine if it is idle.
 func (engine *Engine) signal() {
 	select {
 	case engine.wake <- struct{}{}:
@@ -117,7 +131,8 @@
 	}
 }
 
-// work plays passes until ctx is done.
+// run runs passes until ctx is done. A pass takes its planned time, multiplied by
+// the slowdown, and then takes effect.
 func (engine *Engine) work(ctx context.Context) {
 	for ctx.Err() == nil {
 		cost, finish := engine.pass()
@@ -134,7 +149,8 @@
 	}
 }
 
-// pass plans the next pass: what it takes, and what it brings about.
+// planPass plans the next pass. It returns the time that the pass takes, or zero if
+// there is no work, and a function that applies its results.
 func (engine *Engine) pass() (time.Duration, func()) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
@@ -143,55 +159,56 @@
 	}
 	engine.forget()
 	engine.admitWaiting()
-	writers, cost := engine.writers()
+	decoding, cost := engine.writers()
 	steps := 1
-	if len(writers) > 0 {
+	if len(decoding) > 0 {
 		steps = engine.model.Stride
 	}
 	budget := steps * engine.model.Chunk
 	progress := make(map[*part]int)
-	for _, part := range engine.parts {
-		count := min(budget, part.tokens-part.done)
-		if count == 0 {
+	for _, prefill := range engine.parts {
+		chunkTokens := min(budget, prefill.tokens-prefill.done)
+		if chunkTokens == 0 {
 			continue
 		}
-		progress[part] = count
-		budget -= count
-		cost += engine.model.readTime(part.done, part.done+count, part.pairsShare)
+		progress[prefill] = chunkTokens
+		budget -= chunkTokens
+		cost += engine.model.readTime(prefill.done, prefill.done+chunkTokens, prefill.pairsShare)
 	}
-	if len(writers) == 0 && len(progress) == 0 {
+	if len(decoding) == 0 && len(progress) == 0 {
 		return 0, nil
 	}
-	if len(writers) == 0 {
+	if len(decoding) == 0 {
 		cost += engine.model.Step
 	}
-	return cost, func() { engine.finish(writers, progress) }
+	return cost, func() { engine.finish(decoding, progress) }
 }
 
-// writers returns the requests that write, and what their steps take.
+// decoding returns the requests that decode, and the time of their steps in a pass.
 func (engine *Engine) writers() ([]*generation, time.Duration) {
-	var writers []*generation
+	var decoding []*generation
 	var contexts []int
-	var hops time.Duration
+	var remoteTime time.Duration
 	for _, generation := range engine.running {
 		if generation.isRead() {
-			writers = append(writers, generation)
+			decoding = append(decoding, generation)
 			contexts = append(contexts, generation.memory())
 			if generation.spread {
-				hops += engine.model.Hop
+				remoteTime += engine.model.Hop
 			}
 		}
 	}
-	if len(writers) == 0 {
+	if len(decoding) == 0 {
 		return nil, 0
 	}
-	return writers, time.Duration(engine.model.Stride) * (engine.model.stepTime(contexts) + hops)
+	return decoding, time.Duration(engine.model.Stride) * (engine.model.stepTime(contexts) + remoteTime)
 }
 
+// isPrefilled reports whether all parts of the prefill are finished.
 func (generation *generation) isRead() bool {
-	for _, part := range append([]*part{generation.own}, generation.others...) {
+	for _, prefill := range append([]*part{generation.own}, generation.others...) {
 		select {
-		case <-part.read:
+		case <-prefill.read:
 		default:
 			return false
 		}
@@ -199,53 +216,53 @@
 	return true
 }
 
-// finish brings about what a pass did.
-func (engine *Engine) finish(writers []*generation, progress map[*part]int) {
+// finishPass applies the results of a pass.
+func (engine *Engine) finish(decoding []*generation, progress map[*part]int) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
-	for part, count := range progress {
-		part.done += count
-		if part.done == part.tokens {
-			close(part.read)
-			part.first.signal()
+	for prefill, chunkTokens := range progress {
+		prefill.done += chunkTokens
+		if prefill.done == prefill.tokens {
+			close(prefill.read)
+			prefill.first.signal()
 		}
 	}
-	engine.parts = slices.DeleteFunc(engine.parts, func(part *part) bool { return part.done == part.tokens })
-	for _, generation := range writers {
+	engine.parts = slices.DeleteFunc(engine.parts, func(prefill *part) bool { return prefill.done == prefill.tokens })
+	for _, generation := range decoding {
 		engine.write(generation)
 	}
 	engine.signal()
 }
 
-// write adds the tokens of one pass to a generation.
+// decode adds the output tokens of one pass to a generation.
 func (engine *Engine) write(generation *generation) {
 	if generation.gone || generation.written >= generation.total {
 		return
 	}
 	generation.written = min(generation.total, generation.written+engine.model.Stride)
 	event := (generation.written + engine.model.Stride - 1) / engine.model.Stride
-	generation.events <- event // there is room for all events
+	generation.events <- event // doesn't block: the buffer has space for all events
 	if generation.written >= generation.total {
 		close(generation.events)
 	}
 }
 
-// forget drops generations that ended or whose callers left.
+// removeEnded removes generations that are complete or have been ended.
 func (engine *Engine) forget() {
-	over := func(generation *generation) bool {
+	isFinished := func(generation *generation) bool {
 		return generation.gone || generation.written >= generation.total
 	}
 	for _, generation := range engine.running {
 		if generation.gone {
-			engine.parts = slices.DeleteFunc(engine.parts, func(part *part) bool { return part == generation.own })
+			engine.parts = slices.DeleteFunc(engine.parts, func(prefill *part) bool { return prefill == generation.own })
 		}
 	}
-	engine.running = slices.DeleteFunc(engine.running, over)
-	engine.waiting = slices.DeleteFunc(engine.waiting, over)
+	engine.running = slices.DeleteFunc(engine.running, isFinished)
+	engine.waiting = slices.DeleteFunc(engine.waiting, isFinished)
 }
 
-// admitWaiting admits requests while there are slots and memory, the urgent ones
-// first. Nothing new is admitted while a reservation waits.
+// admitQueued admits queued requests in order of urgency while there are free
+// slots and memory. A request that doesn't fit blocks those after it.
 func (engine *Engine) admitWaiting() {
 	engine.lapse()
 	slices.SortStableFunc(engine.waiting, func(a, b *generation) int { return cmp.Compare(a.urgency, b.urgency) })
@@ -261,33 +278,35 @@
 	}
 }
 
-// free is the memory that neither requests nor tickets hold.
+// freeTokens returns the memory in tokens that neither requests nor reservations use.
 func (engine *Engine) free() int {
-	free := engine.model.Memory
+	freeTokens := engine.model.Memory
 	for _, generation := range engine.running {
-		free -= generation.memory()
+		freeTokens -= generation.memory()
 	}
-	for _, ticket := range engine.tickets {
-		free -= ticket.tokens
+	for _, reservation := range engine.tickets {
+		freeTokens -= reservation.tokens
 	}
-	return free
+	return freeTokens
 }
 
-// help reads a part of a prompt for another engine, ahead of other reading.
-func (engine *Engine) help(first *Engine, tokens int, pairsShare float64) (*part, bool) {
+// startHelperPrefill starts the prefill of a part of a prompt for another engine,
+// before the prefills of the engine's own requests. It returns false if the engine
+// has been killed or has too many such prefills.
+func (engine *Engine) help(requester *Engine, tokens int, pairsShare float64) (*part, bool) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
-	helping := 0
-	for _, part := range engine.parts {
-		if part.helps {
-			helping++
+	helpCount := 0
+	for _, prefill := range engine.parts {
+		if prefill.helps {
+			helpCount++
 		}
 	}
-	if engine.dead || helping >= engine.model.Slots {
+	if engine.dead || helpCount >= engine.model.Slots {
 		return nil, false
 	}
-	added := &part{tokens: tokens, pairsShare: pairsShare, helps: true, read: make(chan struct{}), first: first}
-	engine.parts = slices.Insert(engine.parts, helping, added)
+	added := &part{tokens: tokens, pairsShare: pairsShare, helps: true, read: make(chan struct{}), first: requester}
+	engine.parts = slices.Insert(engine.parts, helpCount, added)
 	engine.signal()
 	return added, true
 }
--- a/internal/standin/platformserver/engine_test.go
+++ b/internal/standin/platformserver/engine_test.go
@@ -15,30 +15,31 @@
 	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
 )
 
-// world is a few engines in virtual time.
+// fleet is a number of engines that runs in virtual time, with their record.
 type world struct {
 	engines []*platformserver.Engine
 	record  *platformserver.Record
 }
 
-func inWorld(t *testing.T, count int, test func(t *testing.T, world *world)) {
+// runInFleet runs a test with the given number of engines.
+func inWorld(t *testing.T, count int, test func(t *testing.T, fleet *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		world := &world{record: &platformserver.Record{}}
-		fleet := platformserver.NewFleet()
+		fleet := &world{record: &platformserver.Record{}}
+		registry := platformserver.NewFleet()
 		for number := range count {
 			identity := platformserver.Identity{
 				Instance: fmt.Sprintf("i-%d", number), Service: "engines", Address: address(number),
 			}
-			world.engines = append(world.engines,
-				platformserver.NewEngine(ctx, identity, platformserver.UsersModel(), fleet, world.record, 1))
+			fleet.engines = append(fleet.engines,
+				platformserver.NewEngine(ctx, identity, platformserver.UsersModel(), registry, fleet.record, 1))
 		}
 		defer func() {
 			stop()
 			synctest.Wait()
 		}()
-		test(t, world)
+		test(t, fleet)
 	})
 }
 
@@ -46,77 +47,80 @@
 	return fmt.Sprintf("10.0.0.%d:80", number)
 }
 
-// asked is a request to an engine, and the answer once it is done.
+// response is the response to a request to an engine. It is complete when
+// done is closed.
 type asked struct {
 	*httptest.ResponseRecorder
 
+	// first is the time to first event.
 	first time.Duration
 	done  chan struct{}
 }
 
-// firstWrite notes when the first event comes.
+// ttftWriter records the time to first event.
 type firstWrite struct {
 	*httptest.ResponseRecorder
 
-	asked *asked
-	start time.Time
+	response *asked
+	start    time.Time
 }
 
 func (writer *firstWrite) Write(data []byte) (int, error) {
-	if writer.asked.first == 0 {
-		writer.asked.first = time.Since(writer.start)
+	if writer.response.first == 0 {
+		writer.response.first = time.Since(writer.start)
 	}
-	return writer.ResponseRecorder.Write(data) //nolint:wrapcheck // passes it on
+	return writer.ResponseRecorder.Write(data) //nolint:wrapcheck // must return the recorder's error unchanged
 }
 
-// ask sends a request for so many tokens to the first engine.
-func (world *world) ask(prompt, out int, header map[string]string) *asked {
+// send sends a request with the given numbers of prompt and output tokens to the
+// first engine.
+func (fleet *world) ask(promptTokens, outputTokens int, header map[string]string) *asked {
 	request := httptest.NewRequest(http.MethodPost, "/chat/x", strings.NewReader("prompt"))
 	request.Header.Set("Request-Id", "r-1")
-	request.Header.Set("Token-Counts", fmt.Sprintf("%d,%d", prompt, out))
+	request.Header.Set("Token-Counts", fmt.Sprintf("%d,%d", promptTokens, outputTokens))
 	request.Header.Set("Deadline-Ms", "10000")
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	asked := &asked{ResponseRecorder: httptest.NewRecorder(), done: make(chan struct{})}
-	writer := &firstWrite{ResponseRecorder: asked.ResponseRecorder, asked: asked, start: time.Now()}
+	response := &asked{ResponseRecorder: httptest.NewRecorder(), done: make(chan struct{})}
+	writer := &firstWrite{ResponseRecorder: response.ResponseRecorder, response: response, start: time.Now()}
 	go func() {
-		defer close(asked.done)
-		defer func() { _ = recover() }() // a cut answer
-		world.engines[0].ServeHTTP(writer, request)
+		defer close(response.done)
+		defer func() { _ = recover() }() // the handler panics to cut off the response
+		fleet.engines[0].ServeHTTP(writer, request)
 	}()
-	return asked
+	return response
 }
 
-// TestFirstEvent holds the engine against the published formulas.
+// TestFirstEvent checks the time to first event against the published formulas.
 func TestFirstEvent(t *testing.T) {
 	tests := map[string]struct {
 		prompt  int
 		helpers int
-		// want is the reading and the first pass of writing.
+		// min and max bound the time of the prefill and the first decode pass.
 		min, max time.Duration
 	}{
-		"a short prompt alone":        {prompt: 5000, min: 70 * time.Millisecond, max: 76 * time.Millisecond},
-		"a long prompt alone":         {prompt: 133_000, min: 1900 * time.Millisecond, max: 2030 * time.Millisecond},
-		"a long prompt in four parts": {prompt: 133_000, helpers: 3, min: 520 * time.Millisecond, max: 590 * time.Millisecond},
+		"a short prompt alone":          {prompt: 5000, min: 70 * time.Millisecond, max: 76 * time.Millisecond},
+		"a long prompt alone":           {prompt: 133_000, min: 1900 * time.Millisecond, max: 2030 * time.Millisecond},
+		"a long prompt on four engines": {prompt: 133_000, helpers: 3, min: 520 * time.Millisecond, max: 590 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 4, func(t *testing.T, world *world) {
+			inWorld(t, 4, func(t *testing.T, fleet *world) {
 				var names []string
 				for helper := range test.helpers {
 					names = append(names, address(helper+1))
 				}
-				asked := world.ask(test.prompt, 86, map[string]string{"Helper-Nodes": strings.Join(names, ",")})
-				<-asked.done
-				assert.Equal(t, asked.Body.String(), platformserver.Event("r-1", 1)+platformserver.Event("r-1", 2))
-				assert.Assert(t, asked.first >= test.min && asked.first <= test.max, "%s", asked.first)
+				response := fleet.ask(test.prompt, 86, map[string]string{"Helper-Nodes": strings.Join(names, ",")})
+				<-response.done
+				assert.Equal(t, response.Body.String(), platformserver.Event("r-1", 1)+platformserver.Event("r-1", 2))
+				assert.Assert(t, response.first >= test.min && response.first <= test.max, "%s", response.first)
 			})
 		})
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	names := func(count int) string {
 		var list []string
 		for range count {
@@ -132,90 +136,91 @@
 		wantNotRun bool
 		wantRuns   int
 	}{
-		"served":               {prompt: 5000, wantStatus: http.StatusOK, wantRuns: 1},
-		"another server":       {prompt: 5000, header: map[string]string{"Expect-Instance": "i-9"}, wantStatus: http.StatusMisdirectedRequest},
-		"refused":              {prompt: 5000, faults: platformserver.Faults{Refused: 1}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
-		"its own error":        {prompt: 5000, faults: platformserver.Faults{Errors: 1}, wantStatus: http.StatusInternalServerError, wantRuns: 1},
-		"beyond its memory":    {prompt: 240_000, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
-		"16 helpers":           {prompt: 5000, header: map[string]string{"Helper-Nodes": names(16)}, wantStatus: http.StatusOK, wantRuns: 1},
-		"17 helpers":           {prompt: 5000, header: map[string]string{"Helper-Nodes": names(17)}, wantStatus: http.StatusBadRequest, wantNotRun: true},
-		"a helper that is not": {prompt: 5000, header: map[string]string{"Helper-Nodes": "10.9.9.9:80"}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
-		"no such ticket":       {prompt: 5000, header: map[string]string{"Helper-Nodes": address(1) + "/t1"}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
+		"served":                        {prompt: 5000, wantStatus: http.StatusOK, wantRuns: 1},
+		"intended for another instance": {prompt: 5000, header: map[string]string{"Expect-Instance": "i-9"}, wantStatus: http.StatusMisdirectedRequest},
+		"refused by a fault":            {prompt: 5000, faults: platformserver.Faults{Refused: 1}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
+		"server error":                  {prompt: 5000, faults: platformserver.Faults{Errors: 1}, wantStatus: http.StatusInternalServerError, wantRuns: 1},
+		"prompt exceeds the memory":     {prompt: 240_000, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
+		"16 helpers":                    {prompt: 5000, header: map[string]string{"Helper-Nodes": names(16)}, wantStatus: http.StatusOK, wantRuns: 1},
+		"17 helpers":                    {prompt: 5000, header: map[string]string{"Helper-Nodes": names(17)}, wantStatus: http.StatusBadRequest, wantNotRun: true},
+		"unknown helper":                {prompt: 5000, header: map[string]string{"Helper-Nodes": "10.9.9.9:80"}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
+		"unknown reservation":           {prompt: 5000, header: map[string]string{"Helper-Nodes": address(1) + "/t1"}, wantStatus: http.StatusServiceUnavailable, wantNotRun: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 2, func(t *testing.T, world *world) {
-				world.engines[0].SetFaults(test.faults)
-				asked := world.ask(test.prompt, 43, test.header)
-				<-asked.done
-				assert.Equal(t, asked.Code, test.wantStatus)
-				assert.Equal(t, asked.Header().Get("Not-Executed") != "", test.wantNotRun)
-				assert.Equal(t, len(world.record.Runs()), test.wantRuns)
+			inWorld(t, 2, func(t *testing.T, fleet *world) {
+				fleet.engines[0].SetFaults(test.faults)
+				response := fleet.ask(test.prompt, 43, test.header)
+				<-response.done
+				assert.Equal(t, response.Code, test.wantStatus)
+				assert.Equal(t, response.Header().Get("Not-Executed") != "", test.wantNotRun)
+				assert.Equal(t, len(fleet.record.Runs()), test.wantRuns)
 			})
 		})
 	}
 }
 
-// TestMemory has two prompts that do not fit one engine together.
-func TestMemory(t *testing.T) {
-	inWorld(t, 1, func(t *testing.T, world *world) {
-		first := world.ask(133_000, 430, nil)
+// The two prompts don't fit into the memory of one engine together, so the second
+// one must be queued until the first has finished.
+func TestRequestWaitsForMemory(t *testing.T) {
+	inWorld(t, 1, func(t *testing.T, fleet *world) {
+		first := fleet.ask(133_000, 430, nil)
 		time.Sleep(10 * time.Millisecond)
-		second := world.ask(133_000, 43, nil)
+		second := fleet.ask(133_000, 43, nil)
 		<-first.done
 		<-second.done
 		assert.Assert(t, second.first > first.first+500*time.Millisecond, "%s after %s", second.first, first.first)
 	})
 }
 
-// order sends an order to an engine.
-func (world *world) order(number int, body string) int {
+// sendCommand sends a reservation command to an engine and returns the status.
+func (fleet *world) order(number int, body string) int {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/order", strings.NewReader(body))
-	world.engines[number].ServeHTTP(recorder, request)
+	fleet.engines[number].ServeHTTP(recorder, request)
 	return recorder.Code
 }
 
-func TestTickets(t *testing.T) {
+func TestReservations(t *testing.T) {
 	tests := map[string]struct {
-		run func(t *testing.T, world *world)
+		run func(t *testing.T, fleet *world)
 	}{
-		"a prompt beyond one memory": {run: func(t *testing.T, world *world) {
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
-			assert.Equal(t, world.order(1, `{"op":"reserve","id":"t","tokens":100000,"hold_ms":60000}`), http.StatusOK)
-			asked := world.ask(300_000, 43, map[string]string{"Helper-Nodes": address(0) + "/t," + address(1) + "/t"})
-			<-asked.done
-			assert.Equal(t, asked.Code, http.StatusOK)
-			count, _ := world.engines[0].Tickets()
-			assert.Equal(t, count, 1, "the end of a request does not end its ticket")
-			assert.Equal(t, world.order(0, `{"op":"release","id":"t"}`), http.StatusOK)
-			count, _ = world.engines[0].Tickets()
+		"a prompt that exceeds the memory of one engine": {run: func(t *testing.T, fleet *world) {
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+			assert.Equal(t, fleet.order(1, `{"op":"reserve","id":"t","tokens":100000,"hold_ms":60000}`), http.StatusOK)
+			response := fleet.ask(300_000, 43, map[string]string{"Helper-Nodes": address(0) + "/t," + address(1) + "/t"})
+			<-response.done
+			assert.Equal(t, response.Code, http.StatusOK)
+			count, _ := fleet.engines[0].Tickets()
+			assert.Equal(t, count, 1, "the reservation must outlast the request")
+			assert.Equal(t, fleet.order(0, `{"op":"release","id":"t"}`), http.StatusOK)
+			count, _ = fleet.engines[0].Tickets()
 			assert.Equal(t, count, 0)
 		}},
-		"more than there is": {run: func(t *testing.T, world *world) {
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"u","tokens":100000,"hold_ms":60000}`), http.StatusConflict)
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"v","tokens":300000,"hold_ms":60000}`), http.StatusBadRequest)
+		"more tokens than are free": {run: func(t *testing.T, fleet *world) {
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"u","tokens":100000,"hold_ms":60000}`), http.StatusConflict)
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"v","tokens":300000,"hold_ms":60000}`), http.StatusBadRequest)
 		}},
-		"it lapses": {run: func(t *testing.T, world *world) {
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
+		"a reservation expires unless it is renewed": {run: func(t *testing.T, fleet *world) {
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
 			time.Sleep(900 * time.Millisecond)
-			assert.Equal(t, world.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
+			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
 			time.Sleep(900 * time.Millisecond)
-			count, idle := world.engines[0].Tickets()
+			count, idle := fleet.engines[0].Tickets()
 			assert.Equal(t, count, 1)
 			assert.Equal(t, idle, 1800*time.Millisecond)
 			time.Sleep(200 * time.Millisecond)
-			count, _ = world.engines[0].Tickets()
+			count, _ = fleet.engines[0].Tickets()
 			assert.Equal(t, count, 0)
 		}},
-		"two requests with one ticket": {run: func(t *testing.T, world *world) {
-			assert.Equal(t, world.order(1, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+		"two requests that use one reservation": {run: func(t *testing.T, fleet *world) {
+			assert.Equal(t, fleet.order(1, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
 			header := map[string]string{"Helper-Nodes": address(1) + "/t"}
-			first, second := world.ask(50_000, 430, header), world.ask(50_000, 43, header)
+			first, second := fleet.ask(50_000, 430, header), fleet.ask(50_000, 43, header)
 			<-first.done
 			<-second.done
-			assert.Equal(t, len(world.record.Violations()), 1)
+			assert.Equal(t, len(fleet.record.Violations()), 1)
 		}},
 	}
 	for name, test := range tests {
--- a/internal/standin/platformserver/model.go
+++ b/internal/standin/platformserver/model.go
@@ -2,32 +2,38 @@
 
 import "time"
 
-// Model is how an engine works, by the published formulas.
+// Model is the cost model of an engine, with the parameters of the published
+// formulas. An engine computes in passes. A pass in which any request decodes has
+// StepsPerPass steps, any other has one.
 type Model struct {
-	// Slots is how many requests it works on at once, and Memory its tokens.
+	// Slots is the maximum number of concurrent requests, and MemoryTokens the
+	// size of the KV memory in tokens.
 	Slots  int
 	Memory int
-	// Stride is the steps of a pass with writers, and Chunk the most tokens that
-	// are read in one step.
+	// StepsPerPass is the number of steps of a pass with decoding requests, and
+	// ChunkTokens the maximum number of prefill tokens per step.
 	Stride int
 	Chunk  int
-	// Step is what a step takes, Writer what each request that writes adds to it,
-	// and Context what a thousand tokens of its context add.
+	// StepTime is the base time of a step, StepTimePerRequest its additional time
+	// for each decoding request, and StepTimePerThousandTokens its additional time
+	// for each thousand context tokens of those.
 	Step    time.Duration
 	Writer  time.Duration
 	Context time.Duration
-	// ReadPerSecond is the tokens read in a second, and PairsPerMillion the time
-	// for a million pairs of a token and one before it.
+	// PrefillTokensPerSecond is the linear part of the prefill speed, and
+	// TimePerMillionPairs the quadratic part of the prefill time: the time for a
+	// million pairs of a token and an earlier token.
 	ReadPerSecond   float64
 	PairsPerMillion time.Duration
-	// Hop is what each step adds for a request whose memory lies at several
-	// engines.
+	// RemoteMemoryStepTime is the additional time of a step for each decoding
+	// request whose memory is spread over several engines.
 	Hop time.Duration
-	// Stall is how long a request stands still whose helper died.
+	// StallTimeout is the time without progress after which a request is aborted
+	// if one of its engines has been killed.
 	Stall time.Duration
 }
 
-// UsersModel returns the engine of the users' deployments.
+// ProductionModel returns the cost model of the engines in the users' deployments.
 func UsersModel() Model {
 	return Model{
 		Slots: 16, Memory: 232_000, Stride: 43, Chunk: 2048,
@@ -37,20 +43,23 @@
 	}
 }
 
+// Units of the model's parameters.
 const (
 	thousand = 1e3
 	million  = 1e6
 )
 
-// readTime is how long it takes to read the tokens of a prompt from one to
-// another, for a part that has that share of the prompt's pairs.
+// prefillTime returns the time to process the tokens of a part of a prompt in the
+// range [from, to). pairsShare scales the number of token pairs, since the tokens
+// of a part also pair with those of other parts.
 func (model Model) readTime(from, to int, pairsShare float64) time.Duration {
 	linear := float64(to-from) / model.ReadPerSecond * float64(time.Second)
 	pairs := (float64(to)*float64(to) - float64(from)*float64(from)) / 2
 	return time.Duration(linear + pairsShare*pairs/million*float64(model.PairsPerMillion))
 }
 
-// stepTime is how long a step takes for writers with these contexts, in tokens.
+// decodeStepTime returns the time of a step for decoding requests with the given
+// context lengths in tokens.
 func (model Model) stepTime(contexts []int) time.Duration {
 	total := 0
 	for _, context := range contexts {
--- a/internal/standin/platformserver/plain.go
+++ b/internal/standin/platformserver/plain.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Plain is a server of a plain service, which works on a few requests at once and
-// refuses more.
+// Plain is a simulated server of a plain service. It refuses requests beyond its
+// number of concurrent requests.
 type Plain struct {
 	*front
 
@@ -18,12 +18,13 @@
 
 var _ http.Handler = (*Plain)(nil)
 
-// NewPlain returns a server with so many slots that takes so long for a request.
-func NewPlain(identity Identity, slots int, work time.Duration, record *Record, seed uint64) *Plain {
-	return &Plain{front: newFront(identity, record, seed), work: work, slots: make(chan struct{}, slots)}
+// NewPlain returns a server with the given number of concurrent requests and
+// processing time. The seed determines which requests are affected by faults.
+func NewPlain(identity Identity, slots int, processingTime time.Duration, record *Record, seed uint64) *Plain {
+	return &Plain{front: newFront(identity, record, seed), work: processingTime, slots: make(chan struct{}, slots)}
 }
 
-// PlainBody is the body of the answer to a request.
+// PlainBody returns the response body for the request with the given ID.
 func PlainBody(id string) string {
 	return "answer to " + id
 }
@@ -31,7 +32,7 @@
 // ServeHTTP implements http.Handler.
 func (plain *Plain) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body := readBody(writer, request)
-	drawn, ok := plain.admit(writer, request)
+	drawnFaults, ok := plain.admit(writer, request)
 	if !ok {
 		return
 	}
@@ -48,28 +49,29 @@
 	case <-request.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
-	plain.answer(writer, request, drawn)
+	plain.answer(writer, request, drawnFaults)
 }
 
-func (plain *Plain) answer(writer http.ResponseWriter, request *http.Request, drawn misfortune) {
+// reply writes the response to a request that ran, subject to its faults.
+func (plain *Plain) answer(writer http.ResponseWriter, request *http.Request, drawnFaults misfortune) {
 	id := request.Header.Get(headerID)
-	answer := PlainBody(id)
+	reply := PlainBody(id)
 	plain.mark(writer, request)
 	switch {
-	case drawn.lost:
+	case drawnFaults.lost:
 		panic(http.ErrAbortHandler)
-	case drawn.errors:
+	case drawnFaults.errors:
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
-	case drawn.cut:
-		writer.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-		_, _ = io.WriteString(writer, answer[:len(answer)/2]) //nolint:gosec // plain text; a caller that is gone needs no answer
-		_ = http.NewResponseController(writer).Flush()        // as above
+	case drawnFaults.cut:
+		writer.Header().Set("Content-Length", strconv.Itoa(len(reply)))
+		_, _ = io.WriteString(writer, reply[:len(reply)/2]) //nolint:gosec // plain text; fails only if the client has disconnected
+		_ = http.NewResponseController(writer).Flush()      // fails only if the client has disconnected
 		panic(http.ErrAbortHandler)
 	}
-	writer.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	_, _ = io.WriteString(writer, answer) //nolint:gosec // as above
-	if drawn.extra {
+	writer.Header().Set("Content-Length", strconv.Itoa(len(reply)))
+	_, _ = io.WriteString(writer, reply) //nolint:gosec // plain text; fails only if the client has disconnected
+	if drawnFaults.extra {
 		surplus(writer)
 	}
 }
--- a/internal/standin/platformserver/record.go
+++ b/internal/standin/platformserver/record.go
@@ -5,37 +5,42 @@
 	"time"
 )
 
-// Run is one request that a server began to work on.
+// Run is a request that a server started to process.
 type Run struct {
-	// ID is the request's.
+	// ID is the request ID.
 	ID       string
 	Service  string
 	Instance string
-	// Organisation is the one that the system named.
+	// Organisation is the organisation that the system sent with the request.
 	Organisation string
-	// KeySeen says that the caller's key was handed on.
+	// KeySeen reports whether the request contained the caller's API key, which
+	// the system must not forward.
 	KeySeen bool
-	// Target and Body are as the server got them.
+	// Target and Body are the request URI and body as received.
 	Target string
 	Body   string
 	At     time.Time
 }
 
-// Arrival is one request that reached the server that it was meant for, and what that one says of itself in its answer.
+// Arrival is a request received by the server instance that it was intended for, with what the server advertised in
+// its response.
 type Arrival struct {
-	// ID is the request's.
+	// ID is the request ID.
 	ID       string
 	Instance string
 	At       time.Time
-	// Leaving says that the server says that it leaves, and Rest for how long it turns the VM away, or zero.
+	// Draining reports whether the response advertised that the server drains. Backoff is the backoff that it requested
+	// with a refusal, or zero.
 	Leaving bool
 	Rest    time.Duration
-	// Limited says that the server names a limit, of so many requests a second from all VMs.
+	// RateLimited reports whether the response advertised a rate limit, and RateLimit is the limit in requests per
+	// second from all VMs together.
 	Limited bool
 	Limit   float64
 }
 
-// Record has what all servers got and ran, in order.
+// Record has the requests that all servers received and ran, in order, and the
+// violations that they detected. It is safe for concurrent use.
 type Record struct {
 	mu         sync.Mutex
 	runs       []Run
@@ -43,7 +48,7 @@
 	violations []string
 }
 
-func (record *Record) begin(run Run) {
+func (record *Record) recordRun(run Run) {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	record.runs = append(record.runs, run)
@@ -55,28 +60,28 @@
 	record.arrivals = append(record.arrivals, arrival)
 }
 
-// Arrivals returns what arrived so far.
+// Arrivals returns a copy of the requests received so far.
 func (record *Record) Arrivals() []Arrival {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	return append([]Arrival(nil), record.arrivals...)
 }
 
-// Violate notes that a server saw what must never happen.
-func (record *Record) Violate(what string) {
+// AddViolation records that a server detected a violation of the protocol.
+func (record *Record) Violate(violation string) {
 	record.mu.Lock()
 	defer record.mu.Unlock()
-	record.violations = append(record.violations, what)
+	record.violations = append(record.violations, violation)
 }
 
-// Runs returns what ran so far.
+// Runs returns a copy of the list of requests run so far.
 func (record *Record) Runs() []Run {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	return append([]Run(nil), record.runs...)
 }
 
-// Violations returns what servers saw that must never happen.
+// Violations returns descriptions of the protocol violations detected so far.
 func (record *Record) Violations() []string {
 	record.mu.Lock()
 	defer record.mu.Unlock()
--- a/internal/standin/platformserver/server.go
+++ b/internal/standin/platformserver/server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Headers of the platform's servers.
+// Headers of the protocol of the platform's backend servers.
 const (
 	headerID           = "Request-Id"
 	headerSeal         = "Response-Seal"
@@ -31,50 +31,52 @@
 	headerLimit        = "Server-Limit"
 )
 
-// maxBodyBytes bounds what is read of a request.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 1 << 20
 
-// Faults are how a server misbehaves. The parts are of its requests, from zero to
-// one.
+// Faults are the failure modes of a server. Errors, Refused, LostResponses,
+// Truncated and ExtraResponses are fractions (0 to 1) of its requests.
 type Faults struct {
-	// Errors are answered 500 after they ran, Refused 503 without being run.
+	// Errors get status 500 after they ran, and Refused get 503 without being run.
 	Errors  float64
 	Refused float64
-	// Rest is for how long a server that refuses wants nothing from the VM, or zero for no word of it.
+	// Backoff is the Retry-After duration of refusals, or zero to omit the header.
 	Rest time.Duration
-	// Limited says that the server names a limit in all its answers, of so many requests a second from all VMs.
+	// RateLimited makes the server advertise a rate limit in all responses. RateLimit is the limit in requests per
+	// second from all VMs together.
 	Limited bool
 	Limit   float64
-	// Lost ran and get no answer, Cut break off within the answer, Extra get a
-	// second answer, to no request.
+	// LostResponses run and get no response, Truncated get a response that is cut
+	// off halfway, and ExtraResponses get a second response that belongs to no
+	// request.
 	Lost  float64
 	Cut   float64
 	Extra float64
-	// Hang says that nothing is answered, and Slow how many times as long all
-	// takes, if above one.
+	// Hang makes the server respond to no request, and Slowdown multiplies its
+	// processing times if above one.
 	Hang bool
 	Slow float64
 }
 
-// Identity is which server answers at an address.
+// Identity identifies the server instance at an address.
 type Identity struct {
 	Instance string
 	Service  string
 	Address  string
-	// Born is when it started.
+	// StartedAt is the time at which the instance started.
 	Born time.Time
 }
 
-// Crash is a request under which a server ends.
+// Crash makes a server crash when it starts to run a request with a given body.
 type Crash struct {
-	// Body is that of the request.
+	// Body is the body of the request that crashes the server.
 	Body string
-	// End ends the server. It must not block.
+	// StopServer stops the server, or is nil to disable the crash. It must not block.
 	End func()
 }
 
-// front is what engines and plain services have in common: identity, faults and
-// the record.
+// server is the part that engines and plain services have in common: identity,
+// faults and the record. Its exported methods are safe for concurrent use.
 type front struct {
 	identity Identity
 	record   *Record
@@ -83,86 +85,91 @@
 	faults Faults
 	crash  Crash
 	random *rand.Rand
-	// leaving says that all answers say that the server leaves.
+	// draining makes all responses advertise that the server drains.
 	leaving bool
 }
 
+// newServer returns a server without faults. The seed determines which requests
+// are affected by faults set later.
 func newFront(identity Identity, record *Record, seed uint64) *front {
-	return &front{identity: identity, record: record, random: rand.New(rand.NewPCG(seed, seed))} //nolint:gosec // no secret
+	return &front{identity: identity, record: record, random: rand.New(rand.NewPCG(seed, seed))} //nolint:gosec // not security-relevant
 }
 
-// SetFaults makes the server misbehave from now on.
-func (front *front) SetFaults(faults Faults) {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	front.faults = faults
+// SetFaults replaces all faults for subsequent requests.
+func (server *front) SetFaults(faults Faults) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.faults = faults
 }
 
-// SetCrash makes the server crash under a request from now on.
-func (front *front) SetCrash(crash Crash) {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	front.crash = crash
+// SetCrash sets the request that crashes the server.
+func (server *front) SetCrash(crash Crash) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.crash = crash
 }
 
-// SayLeaving lets all answers say from now on that the server leaves.
-func (front *front) SayLeaving() {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	front.leaving = true
+// AdvertiseDraining makes all subsequent responses advertise that the server drains.
+func (server *front) SayLeaving() {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.leaving = true
 }
 
-// speak writes what the server says of itself in any answer, and returns that.
-func (front *front) speak(writer http.ResponseWriter) Arrival {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	if front.leaving {
+// advertise sets the response headers with the server's draining state and rate
+// limit, and returns them as an arrival without request ID.
+func (server *front) speak(writer http.ResponseWriter) Arrival {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if server.leaving {
 		writer.Header().Set(headerLeaving, "1")
 	}
-	if front.faults.Limited {
-		writer.Header().Set(headerLimit, strconv.FormatFloat(front.faults.Limit, 'f', -1, 64))
+	if server.faults.Limited {
+		writer.Header().Set(headerLimit, strconv.FormatFloat(server.faults.Limit, 'f', -1, 64))
 	}
 	return Arrival{
-		Instance: front.identity.Instance, At: time.Now(), Leaving: front.leaving, Rest: front.faults.Rest,
-		Limited: front.faults.Limited, Limit: front.faults.Limit,
+		Instance: server.identity.Instance, At: time.Now(), Leaving: server.leaving, Rest: server.faults.Rest,
+		Limited: server.faults.Limited, Limit: server.faults.Limit,
 	}
 }
 
-// Identity returns which server this is.
-func (front *front) Identity() Identity {
-	return front.identity
+// Identity returns the identity of the server instance.
+func (server *front) Identity() Identity {
+	return server.identity
 }
 
-// misfortune is what goes wrong with one request.
+// requestFaults has the faults that affect one request.
 type misfortune struct {
 	errors, refused, lost, cut, extra, hang bool
 }
 
-func (front *front) draw() misfortune {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	happens := func(part float64) bool { return part > 0 && front.random.Float64() < part }
-	faults := front.faults
+// drawFaults draws at random which faults affect a request.
+func (server *front) draw() misfortune {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	occurs := func(fraction float64) bool { return fraction > 0 && server.random.Float64() < fraction }
+	faults := server.faults
 	return misfortune{
-		errors: happens(faults.Errors), refused: happens(faults.Refused), lost: happens(faults.Lost),
-		cut: happens(faults.Cut), extra: happens(faults.Extra), hang: faults.Hang,
+		errors: occurs(faults.Errors), refused: occurs(faults.Refused), lost: occurs(faults.Lost),
+		cut: occurs(faults.Cut), extra: occurs(faults.Extra), hang: faults.Hang,
 	}
 }
 
-// slow returns how many times as long all takes.
-func (front *front) slow() float64 {
-	front.mu.Lock()
-	defer front.mu.Unlock()
-	return max(1, front.faults.Slow)
+// slowdown returns the factor by which processing times are multiplied.
+func (server *front) slow() float64 {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return max(1, server.faults.Slow)
 }
 
-// mark writes what every answer carries.
-func (front *front) mark(writer http.ResponseWriter, request *http.Request) {
+// setResponseHeaders sets the headers that every response to a request that ran carries.
+func (server *front) mark(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set(headerID, request.Header.Get(headerID))
-	writer.Header().Set(headerSeal, front.identity.Instance)
+	writer.Header().Set(headerSeal, server.identity.Instance)
 }
 
-// notRun answers that the request was not run.
+// writeNotRun writes a response stating that the request was not run. atFault is
+// the address of the server at fault if it is another one, or empty.
 func notRun(writer http.ResponseWriter, request *http.Request, status int, atFault string) {
 	writer.Header().Set(headerID, request.Header.Get(headerID))
 	writer.Header().Set(headerNotRun, "1")
@@ -172,57 +179,57 @@
 	writer.WriteHeader(status)
 }
 
-// admit checks a request and draws its misfortune. It reports false when the
-// request was answered.
-func (front *front) admit(writer http.ResponseWriter, request *http.Request) (misfortune, bool) {
+// checkRequest records a request and draws its faults. It returns false if the
+// request was refused and a response has been written.
+func (server *front) admit(writer http.ResponseWriter, request *http.Request) (misfortune, bool) {
 	expected := request.Header.Get(headerExpect)
-	drawn := front.draw()
-	arrival := front.speak(writer)
+	drawnFaults := server.draw()
+	arrival := server.speak(writer)
 	arrival.ID = request.Header.Get(headerID)
-	if !drawn.refused {
+	if !drawnFaults.refused {
 		arrival.Rest = 0
 	}
-	isMeant := expected == "" || expected == front.identity.Instance
-	if isMeant && arrival.ID != "" { // an order has none: memory in use is given back also to a server that leaves
-		front.record.arrive(arrival)
+	isIntended := expected == "" || expected == server.identity.Instance
+	if isIntended && arrival.ID != "" { // commands have no ID; memory is also released at a draining server
+		server.record.arrive(arrival)
 	}
 	switch {
-	case expected != "" && expected != front.identity.Instance:
-		writer.Header().Set(headerInstance, front.identity.Instance)
+	case expected != "" && expected != server.identity.Instance:
+		writer.Header().Set(headerInstance, server.identity.Instance)
 		writer.Header().Set(headerID, request.Header.Get(headerID))
 		writer.WriteHeader(http.StatusMisdirectedRequest)
-		return drawn, false
-	case drawn.hang:
+		return drawnFaults, false
+	case drawnFaults.hang:
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case drawn.refused:
+	case drawnFaults.refused:
 		if arrival.Rest > 0 {
 			writer.Header().Set(headerRetryAfter, strconv.FormatFloat(arrival.Rest.Seconds(), 'f', -1, 64))
 		}
 		notRun(writer, request, http.StatusServiceUnavailable, "")
-		return drawn, false
+		return drawnFaults, false
 	}
-	return drawn, true
+	return drawnFaults, true
 }
 
-// begin notes that the request runs from now on. It does not return under one that crashes the server.
-func (front *front) begin(request *http.Request, body string) {
-	front.record.begin(Run{
-		ID: request.Header.Get(headerID), Service: front.identity.Service, Instance: front.identity.Instance,
+// recordRun records that the request runs from now on. If the request crashes the server, it aborts the handler.
+func (server *front) begin(request *http.Request, body string) {
+	server.record.recordRun(Run{
+		ID: request.Header.Get(headerID), Service: server.identity.Service, Instance: server.identity.Instance,
 		Organisation: request.Header.Get(headerOrganisation), KeySeen: request.Header.Get(headerKey) != "",
 		Target: request.RequestURI, Body: body, At: time.Now(),
 	})
-	front.mu.Lock()
-	crash := front.crash
-	front.mu.Unlock()
+	server.mu.Lock()
+	crash := server.crash
+	server.mu.Unlock()
 	if crash.End != nil && body == crash.Body {
 		crash.End()
-		panic(http.ErrAbortHandler) // net/http's way of an answer that does not come
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 }
 
-// readBody reads the whole body, without which net/http does not notice a caller
-// that leaves.
+// readBody reads the whole body. Until then, net/http doesn't detect that the
+// client has disconnected.
 func readBody(writer http.ResponseWriter, request *http.Request) string {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
@@ -231,10 +238,10 @@
 	return string(body)
 }
 
-// surplus sends an answer that belongs to no request after the one that was sent,
-// and closes the connection.
+// sendExtraResponse sends a response that belongs to no request after the one
+// already sent, and closes the connection.
 func surplus(writer http.ResponseWriter) {
-	_ = http.NewResponseController(writer).Flush() // a caller that is gone needs nothing
+	_ = http.NewResponseController(writer).Flush() // fails only if the client has disconnected
 	conn, _, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		return
@@ -243,7 +250,7 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: nobody\r\nContent-Length: 2\r\n\r\nno", headerID)
 }
 
-// count reads one number of a header, or zero.
+// parseCount parses a number in a header. It returns zero if the value is invalid.
 func count(value string) int {
 	number, err := strconv.Atoi(strings.TrimSpace(value))
 	if err != nil {
--- a/internal/standin/platformserver/stream.go
+++ b/internal/standin/platformserver/stream.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// maxNames is the most helpers that a request may name.
+// maxHelpers is the maximum number of helper engines in a request.
 const maxNames = 16
 
-// defaultUrgency is that of a request without one.
+// defaultUrgency is the urgency of a request without a priority header; lower values are more urgent.
 const defaultUrgency = 5
 
 var _ http.Handler = (*Engine)(nil)
 
-// Event is the bytes of one event of the answer to a request.
+// Event returns the bytes of an event of the response to a request, numbered from one.
 func Event(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s piece %d\n\n", number, id, number)
 }
 
-// Events is how many events the answer to a request with so many tokens has.
+// EventCount returns the number of events in the response to a request with the
+// given number of output tokens.
 func (model Model) Events(tokens int) int {
 	return (tokens + model.Stride - 1) / model.Stride
 }
@@ -32,7 +33,7 @@
 		return
 	}
 	body := readBody(writer, request)
-	drawn, ok := engine.admit(writer, request)
+	drawnFaults, ok := engine.admit(writer, request)
 	if !ok {
 		return
 	}
@@ -45,72 +46,77 @@
 		return
 	}
 	engine.begin(request, body)
-	engine.stream(writer, request, generation, drawn)
+	engine.stream(writer, request, generation, drawnFaults)
 }
 
+// newGeneration returns a generation with the token counts and the urgency in the
+// request's headers.
 func newGeneration(request *http.Request) *generation {
-	in, out, _ := strings.Cut(request.Header.Get(headerTokens), ",")
+	promptCount, outputCount, _ := strings.Cut(request.Header.Get(headerTokens), ",")
 	urgency := defaultUrgency
 	if value := request.Header.Get(headerPriority); value != "" {
 		urgency = count(value)
 	}
 	created := &generation{
-		prompt: count(in), total: max(1, count(out)), urgency: urgency, admitted: make(chan struct{}),
+		prompt: count(promptCount), total: max(1, count(outputCount)), urgency: urgency, admitted: make(chan struct{}),
 	}
 	created.events = make(chan int, created.total)
 	return created
 }
 
-// name is an entry of the header with helpers.
+// helperRef is an entry of the header with helper engines: the address of an engine,
+// and the ticket of a reservation there or empty.
 type name struct {
 	address, ticket string
 }
 
+// parseHelpers returns the entries of the header with helper engines.
 func names(header string) []name {
-	var found []name
+	var helpers []name
 	for entry := range strings.SplitSeq(header, ",") {
 		address, ticket, _ := strings.Cut(strings.TrimSpace(entry), "/")
 		if address != "" {
-			found = append(found, name{address: address, ticket: ticket})
+			helpers = append(helpers, name{address: address, ticket: ticket})
 		}
 	}
-	return found
+	return helpers
 }
 
-// enter divides the prompt among the engine and its helpers, and queues the
-// request. It reports false when the request was answered.
+// enqueue divides the prompt among the engine and its helpers, and queues the
+// request. It returns false if the request was refused and a response has been
+// written.
 func (engine *Engine) enter(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
 	helpers := names(request.Header.Get(headerHelpers))
 	if len(helpers) > maxNames {
 		notRun(writer, request, http.StatusBadRequest, "")
 		return false
 	}
-	parts := 1
+	engineCount := 1
 	for _, helper := range helpers {
 		if helper.address != engine.identity.Address {
-			parts++
+			engineCount++
 		}
 	}
-	share := 1 / float64(parts)
-	tokens := max(1, generation.prompt/parts)
-	// A part of n tokens of a prompt of p has (n*n)/2 pairs by itself, and gets
-	// p*p/2 divided by the parts.
-	pairs := share * float64(generation.prompt) * float64(generation.prompt) / (float64(tokens) * float64(tokens))
+	share := 1 / float64(engineCount)
+	tokens := max(1, generation.prompt/engineCount)
+	// A part of n tokens of a prompt of p tokens has n*n/2 pairs of its own, but
+	// computes p*p/2 pairs divided by the number of engines.
+	pairsScale := share * float64(generation.prompt) * float64(generation.prompt) / (float64(tokens) * float64(tokens))
 	for _, helper := range helpers {
-		if fault := engine.enlist(helper, generation, tokens, pairs); fault != "" {
-			notRun(writer, request, http.StatusServiceUnavailable, fault)
+		if atFault := engine.enlist(helper, generation, tokens, pairsScale); atFault != "" {
+			notRun(writer, request, http.StatusServiceUnavailable, atFault)
 			engine.leave(generation)
 			return false
 		}
 	}
-	generation.own = &part{tokens: tokens, pairsShare: pairs, read: make(chan struct{}), first: engine}
+	generation.own = &part{tokens: tokens, pairsShare: pairsScale, read: make(chan struct{}), first: engine}
 	engine.passMu.Lock()
-	full := generation.memory() > engine.model.Memory || engine.dead || len(engine.waiting) >= 2*engine.model.Slots
-	if !full {
+	refused := generation.memory() > engine.model.Memory || engine.dead || len(engine.waiting) >= 2*engine.model.Slots
+	if !refused {
 		engine.waiting = append(engine.waiting, generation)
 	}
 	engine.passMu.Unlock()
-	if full {
+	if refused {
 		notRun(writer, request, http.StatusServiceUnavailable, "")
 		engine.leave(generation)
 		return false
@@ -119,34 +125,35 @@
 	return true
 }
 
-// enlist makes one helper read its part and hold its share, and returns the server
-// at fault, if any.
-func (engine *Engine) enlist(helper name, generation *generation, tokens int, pairs float64) string {
-	found := engine.fleet.at(helper.address)
-	if found == nil {
+// addHelper starts a helper's part of the prefill and binds the reservation for
+// its share of the memory. It returns the address of the server at fault if the
+// helper is unavailable, or an empty string.
+func (engine *Engine) enlist(helper name, generation *generation, tokens int, pairsShare float64) string {
+	helperEngine := engine.fleet.at(helper.address)
+	if helperEngine == nil {
 		return helper.address
 	}
 	if helper.ticket != "" {
-		held, ok := found.use(helper.ticket, generation, generation.prompt-generation.reserved)
+		boundTokens, ok := helperEngine.use(helper.ticket, generation, generation.prompt-generation.reserved)
 		if !ok {
 			return helper.address
 		}
-		generation.reserved += held
+		generation.reserved += boundTokens
 		generation.spread = true
 	}
-	if found == engine {
+	if helperEngine == engine {
 		return ""
 	}
-	part, ok := found.help(engine, tokens, pairs)
+	prefill, ok := helperEngine.help(engine, tokens, pairsShare)
 	if !ok {
 		return helper.address
 	}
-	generation.others = append(generation.others, part)
-	generation.helpers = append(generation.helpers, found)
+	generation.others = append(generation.others, prefill)
+	generation.helpers = append(generation.helpers, helperEngine)
 	return ""
 }
 
-// leave notes that a request is over.
+// release marks a request as ended and its reservations at all engines as unused.
 func (engine *Engine) leave(generation *generation) {
 	engine.passMu.Lock()
 	generation.gone = true
@@ -163,14 +170,14 @@
 	engine.signal()
 }
 
-// wait waits until the request is admitted. It reports false when its time was
-// over before.
+// awaitAdmission waits until the request is admitted. It returns false, after
+// writing a response, if the request's deadline expires first.
 func (engine *Engine) wait(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
-	limit := time.Duration(max(1, count(request.Header.Get(headerDeadline)))) * time.Millisecond
+	timeout := time.Duration(max(1, count(request.Header.Get(headerDeadline)))) * time.Millisecond
 	select {
 	case <-generation.admitted:
 		return true
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		notRun(writer, request, http.StatusServiceUnavailable, "")
 		return false
 	case <-request.Context().Done():
@@ -178,43 +185,45 @@
 	}
 }
 
-// stream sends the events that the caller does not have.
-func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, generation *generation, drawn misfortune) {
+// stream sends the events after the last one that the client received, subject to
+// the request's faults.
+func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, generation *generation, drawnFaults misfortune) {
 	id := request.Header.Get(headerID)
-	had := count(request.Header.Get(headerLastEvent))
+	lastEvent := count(request.Header.Get(headerLastEvent))
 	engine.mark(writer, request)
-	if drawn.errors {
+	if drawnFaults.errors {
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if drawn.lost {
+	if drawnFaults.lost {
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
-	_ = controller.Flush() // a caller that is gone ends the context
-	half := engine.model.Events(generation.total) / 2
+	_ = controller.Flush() // fails only if the client has disconnected, which ends the context
+	halfway := engine.model.Events(generation.total) / 2
 	for {
 		event, ok := engine.next(request, generation)
 		if !ok {
 			return
 		}
-		if event <= had {
+		if event <= lastEvent {
 			continue
 		}
 		data := Event(id, event)
-		if drawn.cut && event > half {
-			_, _ = writer.Write([]byte(data[:len(data)/2])) // as above
-			_ = controller.Flush()                          // as above
+		if drawnFaults.cut && event > halfway {
+			_, _ = writer.Write([]byte(data[:len(data)/2])) // fails only if the client has disconnected
+			_ = controller.Flush()                          // fails only if the client has disconnected
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = writer.Write([]byte(data)) // as above
-		_ = controller.Flush()            // as above
+		_, _ = writer.Write([]byte(data)) // fails only if the client has disconnected
+		_ = controller.Flush()            // fails only if the client has disconnected
 	}
 }
 
-// next returns the next event. It reports false when there is none. A request whose
-// engine or helper is dead stands still for a while, and is cut.
+// nextEvent returns the number of the next event, or false after the last. If the
+// engine or a helper has been killed, it aborts the handler after StallTimeout
+// without progress.
 func (engine *Engine) next(request *http.Request, generation *generation) (int, bool) {
 	for {
 		stall := time.NewTimer(engine.model.Stall)
@@ -233,14 +242,14 @@
 	}
 }
 
-// relies reports whether all engines that a request relies on are alive, and hold
-// its memory.
+// enginesAlive reports whether all engines that process a request are running and
+// the request has not been ended.
 func (engine *Engine) relies(generation *generation) bool {
 	for _, other := range append([]*Engine{engine}, generation.helpers...) {
 		other.passMu.Lock()
-		dead := other.dead
+		killed := other.dead
 		other.passMu.Unlock()
-		if dead {
+		if killed {
 			return false
 		}
 	}
