--- a/internal/standin/engine/calls.go
+++ b/internal/standin/engine/calls.go
@@ -13,31 +13,33 @@
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 )
 
-// housekeeping is how often an idle engine looks for what has expired and
-// writes a load report.
+// maintenanceInterval is the interval at which an engine expires streams and
+// reservations and creates a load report, even while it is idle.
 const housekeeping = 50 * time.Millisecond
 
-// RefusalError says that an order was not carried out, and nothing ran.
+// RefusalError reports that a request or command was refused and nothing ran.
 type RefusalError struct {
-	Reason  string
+	Reason string
+	// Leaving reports that the engine drains.
 	Leaving bool
 }
 
-// Error implements error.
-func (e *RefusalError) Error() string {
-	return e.Reason
+// Error returns the reason.
+func (refusalerror *RefusalError) Error() string {
+	return refusalerror.Reason
 }
 
-// Submit starts a stream. It returns a *RefusalError when nothing was run.
+// Submit starts a stream, or returns a *RefusalError.
 func (engine *Engine) Submit(submission Submission) error {
-	// Members are bound one by one, before this engine is locked, since two
-	// engines may lead groups that contain each other.
+	// Members are bound one at a time and before this engine's mutex is locked,
+	// because two engines may lead groups that contain each other, which could
+	// deadlock.
 	members := engine.group(submission.Group)
-	held := 0
+	boundTokens := 0
 	for _, member := range members {
-		held += member.bind(submission.Group, submission.Attempt)
+		boundTokens += member.bind(submission.Group, submission.Attempt)
 	}
-	err := engine.start(submission, members, held)
+	err := engine.start(submission, members, boundTokens)
 	if err != nil {
 		for _, member := range members {
 			member.Release(submission.Group)
@@ -46,10 +48,12 @@
 	return err
 }
 
-func (engine *Engine) start(submission Submission, members []*Engine, held int) error {
+// start creates the stream of an accepted submission. boundTokens is the memory
+// reserved at the members.
+func (engine *Engine) start(submission Submission, members []*Engine, boundTokens int) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	err := engine.check(submission, held)
+	err := engine.check(submission, boundTokens)
 	if err != nil {
 		return err
 	}
@@ -68,9 +72,9 @@
 	return nil
 }
 
-// check returns why the submission is refused, or nil. A group holds held
-// tokens of memory.
-func (engine *Engine) check(submission Submission, held int) error {
+// check returns a *RefusalError if the submission is refused, or nil. boundTokens
+// is the memory reserved for its group.
+func (engine *Engine) check(submission Submission, boundTokens int) error {
 	tokens := PromptTokens(submission.Prompt) + submission.MaxTokens
 	switch {
 	case engine.closed:
@@ -81,11 +85,11 @@
 		return &RefusalError{Reason: fmt.Sprintf("model %q is not loaded", submission.Model)}
 	case engine.streams[submission.Attempt] != nil:
 		return &RefusalError{Reason: "attempt exists"}
-	case submission.Group != "" && held < tokens:
-		return &RefusalError{Reason: fmt.Sprintf("group holds %d tokens of %d", held, tokens)}
+	case submission.Group != "" && boundTokens < tokens:
+		return &RefusalError{Reason: fmt.Sprintf("group holds %d tokens of %d", boundTokens, tokens)}
 	case submission.Group == "" && engine.roundUp(tokens) > engine.settings.MemoryTokens:
 		return &RefusalError{Reason: "prompt is longer than the engine's memory"}
-	case rand.Float64() < engine.faults.ErrorRate: //nolint:gosec // no secret
+	case rand.Float64() < engine.faults.ErrorRate: //nolint:gosec // not security-relevant
 		return &RefusalError{Reason: "internal error"}
 	case !engine.passesFence(submission):
 		return &RefusalError{Reason: "fencing token is old"}
@@ -93,8 +97,8 @@
 	return nil
 }
 
-// passesFence checks the token of a submission with a key, where the engine
-// checks at all.
+// passesFence reports whether the fencing token of a submission with a key isn't
+// older than an earlier one. It returns true if the engine doesn't check tokens.
 func (engine *Engine) passesFence(submission Submission) bool {
 	if !engine.checksFencing || submission.Key == "" {
 		return true
@@ -107,8 +111,8 @@
 	return true
 }
 
-// group returns the engines of a group, named as "id@engine,engine,...".
-// Engines that are not there are left out.
+// group returns the engines of a group named "id@engine,engine,...". Engines that
+// aren't running are omitted.
 func (engine *Engine) group(name string) []*Engine {
 	if name == "" {
 		return nil
@@ -123,6 +127,8 @@
 	return members
 }
 
+// bind binds a reservation to a stream, so that it doesn't expire while the stream
+// is live. It returns the reserved tokens, or zero if there is no reservation.
 func (engine *Engine) bind(id, attempt string) int {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -134,8 +140,8 @@
 	return reservation.tokens
 }
 
-// Reserve holds memory for a group. It lapses unless it is bound in time; its
-// repeat renews that time.
+// Reserve reserves memory for a group, or returns a *RefusalError. The reservation
+// expires after ttl unless it is bound to a stream or renewed by another call.
 func (engine *Engine) Reserve(id string, tokens int, ttl time.Duration) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -158,13 +164,14 @@
 	return nil
 }
 
-// Release gives back a reservation.
+// Release removes a reservation, if it exists.
 func (engine *Engine) Release(id string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.releaseLocked(id)
 }
 
+// releaseLocked is Release for callers that hold the mutex.
 func (engine *Engine) releaseLocked(id string) {
 	reservation := engine.reservations[id]
 	if reservation == nil {
@@ -175,7 +182,7 @@
 	engine.wake.Broadcast()
 }
 
-// Cancel ends a stream. It reports whether there was one.
+// Cancel ends a stream. It returns false if the stream doesn't exist.
 func (engine *Engine) Cancel(attempt string) bool {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -188,7 +195,8 @@
 	return true
 }
 
-// Info describes the stream of an attempt, if the engine holds it.
+// Info returns information on the stream of an attempt. It returns false if the
+// stream doesn't exist.
 func (engine *Engine) Info(attempt string) (backend.StreamInfo, bool) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -199,7 +207,8 @@
 	return stream.info(), true
 }
 
-// List describes all streams that the engine holds.
+// List returns information on all streams, including recently ended ones, ordered
+// by attempt.
 func (engine *Engine) List() []backend.StreamInfo {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -224,8 +233,9 @@
 	}
 }
 
-// Read sends the frames of a stream from token from on, until it ends, ctx is
-// done or send fails. It reports whether there was such a stream.
+// Read sends the frames of a stream, starting with the given token, until the
+// stream ends, ctx is done or send fails. It returns false if the stream doesn't
+// exist or starts later.
 func (engine *Engine) Read(ctx context.Context, attempt string, from int, send func([]backend.Frame) error) bool {
 	engine.mu.Lock()
 	stream := engine.streams[attempt]
@@ -253,8 +263,9 @@
 	}
 }
 
-// frames returns the frames from token from on, and a channel that is closed
-// when there are more, or nil after the last.
+// frames returns the available frames, starting with the given token, and a
+// channel that is closed when there are more. The channel is nil after the last
+// frame.
 func (engine *Engine) frames(stream *stream, from int) ([]backend.Frame, <-chan struct{}) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -273,6 +284,7 @@
 	return append(frames, end), nil
 }
 
+// detach removes a reader from a stream.
 func (engine *Engine) detach(stream *stream) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -280,7 +292,7 @@
 	stream.detached = time.Now()
 }
 
-// Load returns the newest report that is older than the lag.
+// Load returns the latest load report that is older than LoadLag.
 func (engine *Engine) Load() backend.Load {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -294,13 +306,14 @@
 	return engine.reports[0].load
 }
 
-// Truth returns the load as it is now.
+// CurrentLoad returns the current load, without the lag of load reports.
 func (engine *Engine) Truth() backend.Load {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.load()
 }
 
+// load is CurrentLoad for callers that hold the mutex.
 func (engine *Engine) load() backend.Load {
 	load := backend.Load{FreeTokens: engine.free(), Leaving: engine.leaving}
 	for _, stream := range engine.streams {
@@ -312,16 +325,17 @@
 		} else {
 			load.Waiting++
 		}
-		left := max(0, stream.total-stream.computed) / stream.width()
-		load.QueuedPrefillTokens += left
+		remaining := max(0, stream.total-stream.computed) / stream.width()
+		load.QueuedPrefillTokens += remaining
 		if stream.Priority < backend.PriorityShort {
-			load.QueuedLongTokens += left
+			load.QueuedLongTokens += remaining
 		}
 	}
 	return load
 }
 
-// Housekeep expires what is late and writes load reports until ctx is done.
+// RunMaintenance periodically expires streams and reservations and creates load
+// reports until ctx is done.
 func (engine *Engine) Housekeep(ctx context.Context) {
 	ticker := time.NewTicker(housekeeping)
 	defer ticker.Stop()
@@ -335,6 +349,8 @@
 	}
 }
 
+// tick does one round of maintenance. It also ends streams that have lost an
+// engine of their group.
 func (engine *Engine) tick(now time.Time) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -350,15 +366,17 @@
 	engine.wake.Broadcast()
 }
 
-// lost reports whether a group can no longer use the engine.
+// lost reports whether the engine is closed or has no reservation for a group. It
+// returns false if the engine is locked.
 func (engine *Engine) lost(group string) bool {
 	if !engine.mu.TryLock() {
-		return false // two leaders of groups must not wait for each other
+		return false // two engines that lead groups with each other would deadlock
 	}
 	defer engine.mu.Unlock()
 	return engine.closed || engine.reservations[group] == nil
 }
 
+// failGroup ends the stream of an attempt after the loss of an engine of its group.
 func (engine *Engine) failGroup(attempt string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine stands in for a model engine: continuous batching in steps,
-// chunked prefill, KV memory in blocks with a prefix cache, priorities with
-// preemption, and streams that can be resumed and cancelled. It computes
-// nothing; it takes the time that docs/STANDIN.md states.
+// Package engine simulates a model engine: continuous batching in steps, chunked
+// prefill, KV memory in blocks with a prefix cache, priorities with preemption,
+// and streams that can be resumed and cancelled. It runs no model, but takes the
+// time that the cost model in docs/STANDIN.md specifies.
 package engine
 
 import (
@@ -16,75 +16,84 @@
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 )
 
-// reasonDied is why a dead engine refuses and its streams fail.
+// reasonDied is the reason of refusals and failed streams of a closed engine.
 const reasonDied = "engine died"
 
-// Faults that can be switched while the engine runs.
+// Faults are failure modes that can be changed at run time.
 type Faults struct {
-	// ErrorRate is the part of submissions answered with an error, from 0
-	// to 1, while the load report looks healthy.
+	// ErrorRate is the fraction (0 to 1) of submissions that are refused with
+	// an error. Load reports aren't affected.
 	ErrorRate float64 `json:"error_rate"`
-	// Slowdown multiplies the time of steps if above one.
+	// Slowdown multiplies the duration of steps if above one.
 	Slowdown float64 `json:"slowdown"`
 }
 
-// Engine is the stand-in for one model engine.
+// Engine is a simulated model engine. It is safe for concurrent use.
 type Engine struct {
 	id            string
 	models        []string
 	checksFencing bool
 	settings      Settings
 	executions    *execution.Log
-	// peer finds the other engines of a group.
+	// peer returns the running engine with the given ID, or nil.
 	peer func(id string) *Engine
 
 	mu      sync.Mutex
 	faults  Faults
 	leaving bool
-	// wake is signalled when there may be work.
+	// wake is signalled when there may be work for Run.
 	wake     *sync.Cond
 	closed   bool
 	sequence uint64
-	// streams has waiting, running and recently ended streams by attempt.
+	// streams has the queued, running and recently ended streams by attempt.
 	streams      map[string]*stream
 	reservations map[string]*reservation
-	// used is the KV memory held by streams and reservations, in tokens; it
-	// never exceeds settings.MemoryTokens.
+	// used is the KV memory of streams and reservations, in tokens. It never
+	// exceeds settings.MemoryTokens.
 	used int
-	// cache has the blocks of earlier prompts in otherwise free memory.
+	// cache has the hashes of the cached blocks of earlier prompts. It uses only
+	// free memory.
 	cache *simplelru.LRU[uint64, struct{}]
-	// borrowed is time that groups led by others take from the next steps.
+	// groupTime is time for streams of other engines' groups, to be added to the
+	// next step.
 	borrowed time.Duration
-	// fences has the highest token seen for a key.
-	fences  map[string]uint64
+	// fences has the highest fencing token seen for each organisation and key.
+	fences map[string]uint64
+	// reports has the load reports, oldest first.
 	reports []report
-	// orderToken is the highest token of an order seen.
+	// commandToken is the highest fencing token of a command seen.
 	orderToken uint64
-	// fetch gets the weights of a model, which takes its time.
+	// fetch downloads the weights of a model.
 	fetch  func(ctx context.Context, model string) error
 	role   string
 	events cacheEvents
 }
 
+// reservation is KV memory reserved for a stream of a group.
 type reservation struct {
 	tokens  int
 	expires time.Time
-	// bound names the stream that uses it; it then lasts as long as that.
+	// bound is the attempt whose stream uses the reservation, or empty. A bound
+	// reservation doesn't expire.
 	bound string
 }
 
+// report is a load report.
 type report struct {
 	at   time.Time
 	load backend.Load
 }
 
-// New returns an engine, which computes while Run runs.
+// New returns an engine with the given models loaded. Run and RunMaintenance must
+// be called to operate it. Accepted submissions are added to executions. peer
+// returns other engines of a group by ID, and fetch downloads the weights of a
+// model to load; each may be nil if groups or load commands aren't used.
 func New(
 	id string, models []string, checksFencing bool, settings Settings,
 	executions *execution.Log, peer func(id string) *Engine,
 	fetch func(ctx context.Context, model string) error,
 ) *Engine {
-	capacity := max(1, settings.MemoryTokens/settings.BlockTokens)
+	cacheBlocks := max(1, settings.MemoryTokens/settings.BlockTokens)
 	engine := &Engine{
 		id:            id,
 		models:        slices.Clone(models),
@@ -97,18 +106,18 @@
 		fences:        make(map[string]uint64),
 		fetch:         fetch,
 	}
-	cache, err := simplelru.NewLRU(capacity, func(hash uint64, _ struct{}) {
+	cache, err := simplelru.NewLRU(cacheBlocks, func(hash uint64, _ struct{}) {
 		engine.events.add(eventEvicted, hash, time.Now())
 	})
 	if err != nil {
-		panic(err) // only for a capacity below one
+		panic(err) // can't happen: the size is positive
 	}
 	engine.cache = cache
 	engine.wake = sync.NewCond(&engine.mu)
 	return engine
 }
 
-// Run computes steps until Close.
+// Run computes steps until the engine is closed.
 func (engine *Engine) Run() {
 	for {
 		plan, ok := engine.next()
@@ -120,7 +129,7 @@
 	}
 }
 
-// Close ends Run and fails all streams, as the death of the engine would.
+// Close ends Run and fails all streams, like a crash of the engine.
 func (engine *Engine) Close() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -131,21 +140,22 @@
 	engine.wake.Broadcast()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (engine *Engine) SetFaults(faults Faults) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.faults = faults
 }
 
-// Leave makes the engine refuse new streams; those it has go on.
+// Drain makes the engine refuse new streams and reservations; existing streams
+// continue.
 func (engine *Engine) Leave() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.leaving = true
 }
 
-// end settles stream and frees its memory, at every engine of its group.
+// end ends a live stream and frees its memory at all engines of its group.
 func (engine *Engine) end(stream *stream, end backend.End, reason string) {
 	if !stream.live() {
 		return
@@ -164,24 +174,27 @@
 	}
 }
 
+// freeTokens returns the KV memory available to streams and reservations, in tokens.
 func (engine *Engine) free() int {
 	return engine.settings.MemoryTokens - engine.used
 }
 
+// roundUp rounds a number of tokens up to whole blocks.
 func (engine *Engine) roundUp(tokens int) int {
 	block := engine.settings.BlockTokens
 	return (tokens + block - 1) / block * block
 }
 
-// fitCache drops the oldest cached blocks that no longer fit.
+// fitCache evicts the least recently used blocks until the cache fits into free
+// memory.
 func (engine *Engine) fitCache() {
 	for engine.cache.Len()*engine.settings.BlockTokens > engine.free() {
 		engine.cache.RemoveOldest()
 	}
 }
 
-// cachedPrefix returns how many tokens at the start of the prompt need not be
-// computed. The last token always is.
+// cachedPrefix returns the number of tokens at the start of the prompt that are
+// cached. The last token is always computed.
 func (engine *Engine) cachedPrefix(stream *stream) int {
 	blocks := 0
 	for _, hash := range stream.blocks {
@@ -193,11 +206,12 @@
 	return min(blocks*engine.settings.BlockTokens, stream.total-1)
 }
 
+// cachePrompt adds the blocks of a stream's prompt to the prefix cache.
 func (engine *Engine) remember(stream *stream) {
 	engine.store(stream.blocks)
 }
 
-// store adds blocks to the prefix cache as far as they fit.
+// addToCache adds blocks to the prefix cache as far as they fit into free memory.
 func (engine *Engine) store(blocks []uint64) {
 	for _, hash := range blocks {
 		if !engine.cache.Contains(hash) {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -20,11 +20,11 @@
 const (
 	model     = "clerk"
 	tokenText = "abc "
-	stated    = time.Minute
+	timeLeft  = time.Minute
 	loadTime  = 10 * time.Second
 )
 
-// fleet is engines that know each other.
+// fleet is a number of running engines that can form groups.
 type fleet struct {
 	engines map[string]*engine.Engine
 	cancel  context.CancelFunc
@@ -35,15 +35,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	fleet := &fleet{engines: make(map[string]*engine.Engine), cancel: cancel}
 	for _, id := range ids {
-		made := engine.New(id, []string{model}, true, settings, execution.New(), func(id string) *engine.Engine {
+		created := engine.New(id, []string{model}, true, settings, execution.New(), func(id string) *engine.Engine {
 			return fleet.engines[id]
 		}, func(ctx context.Context, _ string) error {
 			wait.For(ctx, loadTime)
 			return ctx.Err()
 		})
-		fleet.engines[id] = made
-		fleet.running.Go(made.Run)
-		fleet.running.Go(func() { made.Housekeep(ctx) })
+		fleet.engines[id] = created
+		fleet.running.Go(created.Run)
+		fleet.running.Go(func() { created.Housekeep(ctx) })
 	}
 	return fleet
 }
@@ -62,11 +62,12 @@
 		Model:     model,
 		Prompt:    []byte(strings.Repeat(tokenText, tokens)),
 		MaxTokens: 4,
-		TimeLeft:  stated,
+		TimeLeft:  timeLeft,
 	}
 }
 
-// read returns the tokens and the end of an attempt's stream.
+// read returns the tokens of an attempt's stream from the given one, and how the
+// stream ended.
 func read(engine *engine.Engine, attempt string, from int) ([]string, backend.End) {
 	var texts []string
 	var end backend.End
@@ -83,29 +84,30 @@
 	return texts, end
 }
 
-func TestStreamIsWholeAndCanBeReadAgain(t *testing.T) {
+func TestStreamIsCompleteAndCanBeReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(engine.DefaultSettings(), "e1")
 		defer fleet.close()
-		one := fleet.engines["e1"]
-		asked := submission("a1", 1000)
-		assert.NilError(t, one.Submit(asked))
-		digest := xxhash.Sum64(asked.Prompt)
+		target := fleet.engines["e1"]
+		request := submission("a1", 1000)
+		assert.NilError(t, target.Submit(request))
+		digest := xxhash.Sum64(request.Prompt)
 		want := []string{
 			engine.TokenText(digest, 0), engine.TokenText(digest, 1), engine.TokenText(digest, 2), engine.TokenText(digest, 3),
 		}
-		texts, end := read(one, "a1", 0)
+		texts, end := read(target, "a1", 0)
 		assert.DeepEqual(t, texts, want)
 		assert.Equal(t, end, backend.EndCompleted)
-		texts, end = read(one, "a1", 2)
+		texts, end = read(target, "a1", 2)
 		assert.DeepEqual(t, texts, want[2:])
 		assert.Equal(t, end, backend.EndCompleted)
 	})
 }
 
-// Once the engine forgot this, a stream of a group that held its memory waited
-// behind a prompt that waited for memory, until the time of both was over.
-func TestWaitingPromptDoesNotStopGroup(t *testing.T) {
+// Guards against a deadlock: a stream of a group that had its memory was scheduled
+// only after a queued prompt that was waiting for memory, so that both missed their
+// deadlines.
+func TestQueuedPromptDoesNotBlockGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := engine.DefaultSettings()
 		settings.MemoryTokens = 100 << 10
@@ -115,14 +117,14 @@
 		for _, engine := range fleet.engines {
 			assert.NilError(t, engine.Reserve(group, 90<<10, time.Second))
 		}
-		assert.NilError(t, fleet.engines["e1"].Submit(submission("waits", 50<<10)))
+		assert.NilError(t, fleet.engines["e1"].Submit(submission("queued", 50<<10)))
 		grouped := submission("grouped", 150<<10)
 		grouped.Group = group
 		assert.NilError(t, fleet.engines["e1"].Submit(grouped))
 		started := time.Now()
 		_, end := read(fleet.engines["e1"], "grouped", 0)
 		assert.Equal(t, end, backend.EndCompleted)
-		_, end = read(fleet.engines["e1"], "waits", 0)
+		_, end = read(fleet.engines["e1"], "queued", 0)
 		assert.Equal(t, end, backend.EndCompleted)
 		assert.Assert(t, time.Since(started) < 5*time.Second)
 		for _, engine := range fleet.engines {
@@ -131,22 +133,22 @@
 	})
 }
 
-func TestMemoryComesBack(t *testing.T) {
+func TestMemoryIsReleased(t *testing.T) {
 	cases := map[string]func(t *testing.T, fleet *fleet){
-		"when nobody reads": func(t *testing.T, fleet *fleet) {
+		"stream without readers": func(t *testing.T, fleet *fleet) {
 			t.Helper()
 			assert.NilError(t, fleet.engines["e1"].Submit(submission("a1", 400_000)))
 		},
-		"when a reservation lapses": func(t *testing.T, fleet *fleet) {
+		"reservation expires": func(t *testing.T, fleet *fleet) {
 			t.Helper()
 			assert.NilError(t, fleet.engines["e1"].Reserve("g@e1", 1000, time.Second))
 		},
-		"when cancelled": func(t *testing.T, fleet *fleet) {
+		"stream is cancelled": func(t *testing.T, fleet *fleet) {
 			t.Helper()
 			assert.NilError(t, fleet.engines["e1"].Submit(submission("a1", 400_000)))
 			assert.Assert(t, fleet.engines["e1"].Cancel("a1"))
 		},
-		"when another engine of the group dies": func(t *testing.T, fleet *fleet) {
+		"another engine of the group crashes": func(t *testing.T, fleet *fleet) {
 			t.Helper()
 			for _, engine := range fleet.engines {
 				assert.NilError(t, engine.Reserve("g@e1,e2", 300_000, time.Second))
@@ -159,13 +161,13 @@
 			assert.Equal(t, end, backend.EndFailed)
 		},
 	}
-	for name, act := range cases {
+	for name, useMemory := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				settings := engine.DefaultSettings()
 				fleet := newFleet(settings, "e1", "e2")
 				defer fleet.close()
-				act(t, fleet)
+				useMemory(t, fleet)
 				time.Sleep(settings.DetachGrace + time.Second)
 				assert.Equal(t, fleet.engines["e1"].Truth().FreeTokens, settings.MemoryTokens)
 			})
@@ -173,7 +175,7 @@
 	}
 }
 
-func TestShortPromptPassesLong(t *testing.T) {
+func TestHighPriorityPromptOvertakesLongPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(engine.DefaultSettings(), "e1")
 		defer fleet.close()
@@ -185,23 +187,23 @@
 		assert.NilError(t, fleet.engines["e1"].Submit(short))
 		_, end := read(fleet.engines["e1"], "short", 0)
 		assert.Equal(t, end, backend.EndCompleted)
-		// The long prompt alone takes over a second.
+		// The long prompt takes over a second on its own.
 		assert.Assert(t, time.Since(started) < 200*time.Millisecond, "took %s", time.Since(started))
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubmissionIsRefused(t *testing.T) {
 	cases := map[string]struct {
 		change func(submission *engine.Submission)
 		want   string
 	}{
-		"another model": {func(s *engine.Submission) { s.Model = "other" }, `model "other" is not loaded`},
-		"too long":      {func(s *engine.Submission) { s.MaxTokens = 1 << 20 }, "prompt is longer"},
-		"group unknown": {func(s *engine.Submission) { s.Group = "g@e1" }, "group holds 0 tokens"},
-		"attempt twice": {func(s *engine.Submission) { s.Attempt = "first" }, "attempt exists"},
-		"old token":     {func(s *engine.Submission) { s.Key, s.Fence = "k", 4 }, "fencing token is old"},
+		"model isn't loaded": {func(s *engine.Submission) { s.Model = "other" }, `model "other" is not loaded`},
+		"prompt too long":    {func(s *engine.Submission) { s.MaxTokens = 1 << 20 }, "prompt is longer"},
+		"unknown group":      {func(s *engine.Submission) { s.Group = "g@e1" }, "group holds 0 tokens"},
+		"duplicate attempt":  {func(s *engine.Submission) { s.Attempt = "first" }, "attempt exists"},
+		"old fencing token":  {func(s *engine.Submission) { s.Key, s.Fence = "k", 4 }, "fencing token is old"},
 	}
-	for name, c := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fleet := newFleet(engine.DefaultSettings(), "e1")
@@ -210,68 +212,68 @@
 				first.Key, first.Fence = "k", 5
 				assert.NilError(t, fleet.engines["e1"].Submit(first))
 				second := submission("second", 10)
-				c.change(&second)
-				assert.ErrorContains(t, fleet.engines["e1"].Submit(second), c.want)
+				test.change(&second)
+				assert.ErrorContains(t, fleet.engines["e1"].Submit(second), test.want)
 			})
 		})
 	}
 }
 
-func TestOrders(t *testing.T) {
-	load := engine.Order{Kind: engine.OrderLoad, Token: 5, Model: "audit"}
+func TestCommands(t *testing.T) {
+	loadCommand := engine.Order{Kind: engine.OrderLoad, Token: 5, Model: "audit"}
 	cases := map[string]struct {
-		checks bool
-		orders []engine.Order
-		// want is the error of the last order, or empty.
+		checksFencing bool
+		commands      []engine.Order
+		// want is the error of the last command, or empty.
 		want   string
 		served bool
 	}{
-		"a model is served once it is loaded":     {checks: true, orders: []engine.Order{load}, served: true},
-		"a newer order overtakes the load":        {checks: true, orders: []engine.Order{load, {Kind: engine.OrderRole, Token: 6}}},
-		"an older order is refused where checked": {checks: true, orders: []engine.Order{load, {Kind: engine.OrderRole, Token: 4}}, want: "token 4 is older than 5", served: true},
-		"an older order is taken where not":       {orders: []engine.Order{load, {Kind: engine.OrderRole, Token: 4}}, served: true},
-		"an order of no kind is refused":          {checks: true, orders: []engine.Order{{Token: 1}}, want: `no order of kind ""`},
+		"a model is served after it is loaded":                  {checksFencing: true, commands: []engine.Order{loadCommand}, served: true},
+		"a newer command supersedes a load":                     {checksFencing: true, commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 6}}},
+		"an older command is refused if tokens are checked":     {checksFencing: true, commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 4}}, want: "token 4 is older than 5", served: true},
+		"an older command is accepted if tokens aren't checked": {commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 4}}, served: true},
+		"a command without a kind is refused":                   {checksFencing: true, commands: []engine.Order{{Token: 1}}, want: `no order of kind ""`},
 	}
-	for name, c := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				one := engine.New("e1", []string{model}, c.checks, engine.DefaultSettings(), execution.New(), nil,
+				target := engine.New("e1", []string{model}, test.checksFencing, engine.DefaultSettings(), execution.New(), nil,
 					func(context.Context, string) error {
 						time.Sleep(loadTime)
 						return nil
 					})
 				var err error
-				for _, order := range c.orders {
-					err = one.Take(order)
+				for _, command := range test.commands {
+					err = target.Take(command)
 				}
-				if c.want == "" {
+				if test.want == "" {
 					assert.NilError(t, err)
 				} else {
-					assert.ErrorContains(t, err, c.want)
+					assert.ErrorContains(t, err, test.want)
 				}
-				asked := submission("early", 10)
-				asked.Model = "audit"
-				assert.ErrorContains(t, one.Submit(asked), "is not loaded")
+				request := submission("early", 10)
+				request.Model = "audit"
+				assert.ErrorContains(t, target.Submit(request), "is not loaded")
 				time.Sleep(loadTime + time.Second)
-				assert.Equal(t, one.Submit(asked) == nil, c.served)
+				assert.Equal(t, target.Submit(request) == nil, test.served)
 			})
 		})
 	}
 }
 
-func TestExportedMemorySparesPrefill(t *testing.T) {
+func TestImportedMemorySavesPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := engine.DefaultSettings()
 		settings.CacheEventLoss = 0
 		fleet := newFleet(settings, "e1", "e2")
 		defer fleet.close()
-		took := make(map[string]time.Duration)
+		elapsed := make(map[string]time.Duration)
 		for _, id := range []string{"e1", "e2"} {
 			started := time.Now()
 			assert.NilError(t, fleet.engines[id].Submit(submission("a1", 100_000)))
 			_, end := read(fleet.engines[id], "a1", 0)
 			assert.Equal(t, end, backend.EndCompleted)
-			took[id] = time.Since(started)
+			elapsed[id] = time.Since(started)
 			if id == "e1" {
 				kv, ok := fleet.engines["e1"].Export(t.Context(), "a1")
 				assert.Assert(t, ok)
@@ -281,25 +283,25 @@
 				assert.Equal(t, len(fleet.engines["e2"].CacheEvents(0)), len(kv.Blocks))
 			}
 		}
-		assert.Assert(t, took["e2"] < took["e1"]/10, "%v", took)
+		assert.Assert(t, elapsed["e2"] < elapsed["e1"]/10, "%v", elapsed)
 	})
 }
 
-func TestPausedStreamKeepsItsMemory(t *testing.T) {
+func TestPausedStreamKeepsMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := engine.DefaultSettings()
 		fleet := newFleet(settings, "e1")
 		defer fleet.close()
-		one := fleet.engines["e1"]
-		assert.NilError(t, one.Submit(submission("a1", 100_000)))
+		target := fleet.engines["e1"]
+		assert.NilError(t, target.Submit(submission("a1", 100_000)))
 		time.Sleep(50 * time.Millisecond)
-		assert.Assert(t, one.Pause("a1", true))
+		assert.Assert(t, target.Pause("a1", true))
 		time.Sleep(5 * time.Second)
-		info, _ := one.Info("a1")
+		info, _ := target.Info("a1")
 		assert.Equal(t, info.Tokens, 0)
-		assert.Assert(t, one.Truth().FreeTokens < settings.MemoryTokens)
-		assert.Assert(t, one.Pause("a1", false))
-		_, end := read(one, "a1", 0)
+		assert.Assert(t, target.Truth().FreeTokens < settings.MemoryTokens)
+		assert.Assert(t, target.Pause("a1", false))
+		_, end := read(target, "a1", 0)
 		assert.Equal(t, end, backend.EndCompleted)
 	})
 }
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -13,10 +13,10 @@
 	"github.com/mastwinch/mastwinch/internal/backend"
 )
 
-// maxPromptBytes bounds the prompt that an engine takes.
+// maxPromptBytes is the maximum size of a request body.
 const maxPromptBytes = 16 << 20
 
-// Handler returns the HTTP interface of the engine.
+// Handler returns the engine's HTTP handler.
 func (engine *Engine) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/v1/streams", engine.handleSubmit).Methods(http.MethodPost)
@@ -64,7 +64,7 @@
 		From:         int(number(header, backend.HeaderFrom)),
 		MaxTokens:    int(number(header, backend.HeaderMaxTokens)),
 		TimeLeft:     time.Duration(number(header, backend.HeaderTimeLeft)) * time.Millisecond,
-		Fence:        uint64(number(header, backend.HeaderFence)), //nolint:gosec // versions are small
+		Fence:        uint64(number(header, backend.HeaderFence)), //nolint:gosec // fencing tokens aren't negative
 	}
 }
 
@@ -82,6 +82,7 @@
 	engine.relay(w, r, attempt, from)
 }
 
+// relay streams the frames of an attempt from the given token as lines of JSON.
 func (engine *Engine) relay(w http.ResponseWriter, r *http.Request, attempt string, from int) {
 	info, _ := engine.Info(attempt)
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -172,23 +173,24 @@
 }
 
 func (engine *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	var order Order
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPromptBytes)).Decode(&order)
+	var command Order
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPromptBytes)).Decode(&command)
 	if err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	err = engine.Take(order)
+	err = engine.Take(command)
 	if err != nil {
 		refuse(w, err)
 	}
 }
 
+// refuse writes a response stating that nothing was run.
 func refuse(w http.ResponseWriter, err error) {
 	refusal := backend.Refusal{Reason: err.Error(), NotRun: true}
-	var refused *RefusalError
-	if errors.As(err, &refused) {
-		refusal.Leaving = refused.Leaving
+	var refusalError *RefusalError
+	if errors.As(err, &refusalError) {
+		refusal.Leaving = refusalError.Leaving
 	}
 	writeJSON(w, http.StatusServiceUnavailable, refusal)
 }
@@ -199,6 +201,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
+// number parses a number in a header. It returns zero if the value is invalid.
 func number(header http.Header, name string) int64 {
 	value, _ := strconv.ParseInt(header.Get(name), 10, 64)
 	return value
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -9,7 +9,7 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// eventKind says what happened to a block in the prefix cache.
+// eventKind is the kind of change of the prefix cache.
 type eventKind string
 
 const (
@@ -17,19 +17,19 @@
 	eventEvicted eventKind = "evicted"
 )
 
-// maxCacheEvents is how many cache events an engine keeps.
+// maxCacheEvents is the minimum number of recent cache events that an engine keeps.
 const maxCacheEvents = 10_000
 
-// CacheEvent tells of one block in the prefix cache.
+// CacheEvent reports that a block was stored in or evicted from the prefix cache.
 type CacheEvent struct {
-	// Seq counts events; a gap means that some were lost.
+	// Seq is the sequence number; a gap means that events are missing.
 	Seq  uint64    `json:"seq"`
 	Kind eventKind `json:"kind"`
 	Hash uint64    `json:"hash"`
 	at   time.Time
 }
 
-// cacheEvents has the last events, oldest first.
+// cacheEvents has the most recent events, oldest first.
 type cacheEvents struct {
 	next uint64
 	list []CacheEvent
@@ -43,7 +43,8 @@
 	}
 }
 
-// CacheEvents returns the events from one on, late and with gaps.
+// CacheEvents returns the published events from the given sequence number. Events
+// are published with a delay, and a random fraction of them is missing.
 func (engine *Engine) CacheEvents(from uint64) []CacheEvent {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -53,20 +54,20 @@
 		if event.Seq < from || event.at.After(published) {
 			continue
 		}
-		if rand.Float64() >= engine.settings.CacheEventLoss { //nolint:gosec // no secret
+		if rand.Float64() >= engine.settings.CacheEventLoss { //nolint:gosec // not security-relevant
 			events = append(events, event)
 		}
 	}
 	return events
 }
 
-// KV is exported KV memory, as the blocks that it holds.
+// KV is exported KV memory, represented by the hashes of its blocks.
 type KV struct {
 	Blocks []uint64 `json:"blocks"`
 }
 
-// Export copies the KV memory of a stream's prompt as far as it is computed. It
-// takes time, and reports false when there is no such stream.
+// Export copies the KV memory of the computed part of a stream's prompt, which
+// takes time. It returns false if the stream doesn't exist or ctx is done.
 func (engine *Engine) Export(ctx context.Context, attempt string) (KV, bool) {
 	engine.mu.Lock()
 	stream := engine.streams[attempt]
@@ -80,7 +81,8 @@
 	return kv, engine.transfer(ctx, kv)
 }
 
-// Import adds exported KV memory to the prefix cache. It takes time.
+// Import adds exported KV memory to the prefix cache, which takes time. It returns
+// false if ctx is done first.
 func (engine *Engine) Import(ctx context.Context, kv KV) bool {
 	if !engine.transfer(ctx, kv) {
 		return false
@@ -91,6 +93,8 @@
 	return true
 }
 
+// transfer waits for the time that the transfer of KV memory takes. It returns
+// false if ctx is done first.
 func (engine *Engine) transfer(ctx context.Context, kv KV) bool {
 	tokens := len(kv.Blocks) * engine.settings.BlockTokens
 	return wait.For(ctx, time.Duration(tokens)*engine.settings.TransferToken)
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Settings are the constants of the cost model, which docs/STANDIN.md
+// Settings are the parameters of the engine's cost model, which docs/STANDIN.md
 // explains.
 type Settings struct {
 	// BlockTokens is the unit of KV memory and of prefix caching.
 	BlockTokens int `yaml:"block_tokens" validate:"min=1"`
-	// MemoryTokens is the KV memory of one engine.
+	// MemoryTokens is the KV memory of one engine, in tokens.
 	MemoryTokens int `yaml:"memory_tokens" validate:"min=1"`
-	// StepTokens is the most tokens computed in one step.
+	// StepTokens is the maximum number of tokens computed in one step.
 	StepTokens int `yaml:"step_tokens" validate:"min=1"`
-	// DecodeSlots is the most streams that get a token in one step.
+	// DecodeSlots is the maximum number of streams that decode in one step.
 	DecodeSlots int `yaml:"decode_slots" validate:"min=1"`
 	// StepBase is the time of an empty step.
 	StepBase time.Duration `yaml:"step_base" validate:"min=0"`
@@ -25,22 +25,23 @@
 	// DecodeContextNS is the time, in nanoseconds, that each token of context
 	// adds to each token generated.
 	DecodeContextNS float64 `yaml:"decode_context_ns" validate:"min=0"`
-	// LoadLag is how old load reports are.
+	// LoadLag is the age of load reports.
 	LoadLag time.Duration `yaml:"load_lag" validate:"min=0"`
-	// CacheEventLag is how late cache events are published.
+	// CacheEventLag is the delay with which cache events are published.
 	CacheEventLag time.Duration `yaml:"cache_event_lag" validate:"min=0"`
-	// CacheEventLoss is the part of cache events that never are, from 0 to 1.
+	// CacheEventLoss is the fraction (0 to 1) of cache events that are missing
+	// from a response.
 	CacheEventLoss float64 `yaml:"cache_event_loss" validate:"min=0,max=1"`
 	// TransferToken is the time to export or import the KV memory of a token.
 	TransferToken time.Duration `yaml:"transfer_token" validate:"min=0"`
-	// DetachGrace is how long a stream goes on that nobody reads.
+	// DetachGrace is the time after which a stream without readers is cancelled.
 	DetachGrace time.Duration `yaml:"detach_grace" validate:"min=0"`
-	// KeepEnded is how long the answer of an ended stream can be read.
+	// KeepEnded is the time for which an ended stream can still be read.
 	KeepEnded time.Duration `yaml:"keep_ended" validate:"min=0"`
 }
 
-// DefaultSettings returns constants under which a run takes seconds: about
-// twenty times as fast as a real engine.
+// DefaultSettings returns parameters of an engine that is about twenty times as
+// fast as a real one, so that a test run takes seconds.
 func DefaultSettings() Settings {
 	return Settings{
 		BlockTokens:     256,
@@ -61,10 +62,10 @@
 	}
 }
 
-// bytesPerToken is the length of a token of a prompt.
+// bytesPerToken is the length of a prompt token in bytes.
 const bytesPerToken = 4
 
-// PromptTokens returns the length of prompt in tokens.
+// PromptTokens returns the length of a prompt in tokens, rounded up.
 func PromptTokens(prompt []byte) int {
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -8,20 +8,22 @@
 	"github.com/mastwinch/mastwinch/internal/backend"
 )
 
-// step is the work of one step.
+// step is the plan of one step: the streams that get a token, the chunks to
+// prefill, and the duration.
 type step struct {
 	decode  []*stream
 	prefill []chunk
 	cost    time.Duration
 }
 
-// chunk is a part of a prompt.
+// chunk is a part of a stream's prefill.
 type chunk struct {
 	stream *stream
 	tokens int
 }
 
-// next waits for work and returns the step to do, or false once closed.
+// next waits for work and returns the next step. It returns false once the engine
+// is closed.
 func (engine *Engine) next() (step, bool) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -45,8 +47,9 @@
 	}
 }
 
-// expire ends streams that are late or that nobody reads, and forgets old
-// ones and lapsed reservations.
+// expire ends streams whose deadline has passed or that have no readers, and
+// removes streams that ended long ago and expired reservations. The caller must
+// hold the mutex.
 func (engine *Engine) expire(now time.Time) {
 	for attempt, stream := range engine.streams {
 		switch {
@@ -67,35 +70,37 @@
 	}
 }
 
-// schedule gives memory to waiting streams, highest priority first, and
-// returns all that hold memory in that order.
+// schedule allocates memory to queued streams in order of priority. It returns all
+// streams that have memory in that order.
 func (engine *Engine) schedule() []*stream {
-	order := make([]*stream, 0, len(engine.streams))
+	byPriority := make([]*stream, 0, len(engine.streams))
 	for _, stream := range engine.streams {
 		if stream.live() {
-			order = append(order, stream)
+			byPriority = append(byPriority, stream)
 		}
 	}
-	slices.SortFunc(order, func(a, b *stream) int {
+	slices.SortFunc(byPriority, func(a, b *stream) int {
 		return cmp.Or(-cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.sequence, b.sequence))
 	})
-	// Once one has to wait, those after it must not take the memory that it
-	// waits for; but those that have theirs go on, or none would be freed.
+	// If a stream has to wait for memory, no stream after it may get any, so
+	// that it isn't starved. Streams that have memory continue, since otherwise
+	// none would be freed.
 	blocked := false
-	for _, stream := range order {
+	for _, stream := range byPriority {
 		if !engine.holds(stream) && !blocked {
-			blocked = !engine.admit(stream, order)
+			blocked = !engine.admit(stream, byPriority)
 		}
 	}
-	return slices.DeleteFunc(order, func(stream *stream) bool { return !engine.holds(stream) })
+	return slices.DeleteFunc(byPriority, func(stream *stream) bool { return !engine.holds(stream) })
 }
 
-// admit gives stream its memory, if need be by preempting streams of lower
-// priority, which start again later.
-func (engine *Engine) admit(stream *stream, order []*stream) bool {
-	need := engine.roundUp(stream.need())
-	for i := len(order) - 1; i >= 0 && engine.free() < need; i-- {
-		victim := order[i]
+// admit allocates memory to a stream. If there isn't enough, it preempts streams of
+// lower priority, which are queued again and recompute their prefill. It returns
+// false if there still isn't enough. byPriority has all live streams, highest priority first.
+func (engine *Engine) admit(stream *stream, byPriority []*stream) bool {
+	requiredTokens := engine.roundUp(stream.need())
+	for i := len(byPriority) - 1; i >= 0 && engine.free() < requiredTokens; i-- {
+		victim := byPriority[i]
 		if victim.Priority >= stream.Priority {
 			return false
 		}
@@ -106,18 +111,18 @@
 			victim.total = PromptTokens(victim.Prompt) + victim.From + len(victim.tokens)
 		}
 	}
-	if engine.free() < need {
+	if engine.free() < requiredTokens {
 		return false
 	}
-	stream.reserved = need
-	engine.used += need
+	stream.reserved = requiredTokens
+	engine.used += requiredTokens
 	engine.fitCache()
 	stream.computed = engine.cachedPrefix(stream)
 	return true
 }
 
-// plan chooses the work of one step: a token for each stream that has its
-// prompt computed, then prompts in the order of running.
+// plan plans one step: a token for each stream whose prefill is complete, then
+// prefill chunks in the order of running, within the token budget.
 func (engine *Engine) plan(running []*stream) step {
 	settings := engine.settings
 	plan := step{cost: settings.StepBase}
@@ -137,7 +142,7 @@
 		if stream.paused || stream.decoding() || budget <= 0 {
 			continue
 		}
-		// Each engine of a group computes its part of the chunk.
+		// The engines of a group each compute an equal share of the chunk.
 		tokens := min(budget*stream.width(), stream.total-stream.computed)
 		share := (tokens + stream.width() - 1) / stream.width()
 		budget -= share
@@ -150,7 +155,8 @@
 	return plan
 }
 
-// charge makes the other engines of a group spend cost too.
+// charge adds the time of a chunk to the next steps of the other engines of a
+// group.
 func (engine *Engine) charge(stream *stream, cost time.Duration) {
 	for _, member := range stream.members {
 		if member != engine {
@@ -159,13 +165,14 @@
 	}
 }
 
+// addGroupTime adds time spent on a group of another engine to the next step.
 func (engine *Engine) borrow(cost time.Duration) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.borrowed += cost
 }
 
-// commit adds what the step computed to the streams that still live.
+// commit applies the results of a step to the streams that still have memory.
 func (engine *Engine) commit(plan step) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -187,11 +194,12 @@
 	}
 }
 
-// holds reports whether stream lives and still has its memory.
+// hasMemory reports whether a stream is live and has memory allocated.
 func (engine *Engine) holds(stream *stream) bool {
 	return stream.live() && (stream.reserved > 0 || stream.Group != "")
 }
 
+// generate adds a token to a stream and ends it at its maximum length.
 func (engine *Engine) generate(stream *stream) {
 	stream.emit()
 	if stream.From+len(stream.tokens) >= stream.MaxTokens {
