--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,19 +7,20 @@
 	"github.com/mastwinch/mastwinch/internal/standin/vmlist"
 )
 
-// Faults is an order to change what goes wrong. Parts that are absent stay as
-// they are.
+// Faults is a request to change faults. Absent fields leave the corresponding
+// faults unchanged.
 type Faults struct {
+	// Log and VMList replace all faults of these services.
 	Log    *logservice.Faults `json:"log,omitempty"`
 	VMList *vmlist.Faults     `json:"vm_list,omitempty"`
-	// Engine replaces the faults of the engines with that ID.
+	// Engine replaces the faults of engines, by ID.
 	Engine map[string]engine.Faults `json:"engine,omitempty"`
-	// Service replaces the faults of the services with that ID.
+	// Service replaces the faults of services, by ID.
 	Service map[string]service.Faults `json:"service,omitempty"`
-	// Kill makes backend servers with that ID die.
+	// Kill has the IDs of backend servers to kill, which loses their state.
 	Kill []string `json:"kill,omitempty"`
-	// Start starts dead backend servers again, empty.
+	// Start has the IDs of killed backend servers to start again, without state.
 	Start []string `json:"start,omitempty"`
-	// Leave makes backend servers with that ID leave.
+	// Leave has the IDs of backend servers to drain.
 	Leave []string `json:"leave,omitempty"`
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -13,33 +13,35 @@
 	"github.com/mastwinch/mastwinch/internal/standin/service"
 )
 
-// server is one backend server: an engine or a service with its listener.
+// server is a simulated backend server: an engine or a service with its HTTP
+// server. It can be killed and started again.
 type server struct {
 	vm infra.VM
-	// build makes the server anew, empty.
+	// build returns a new engine or service without any state.
 	build func() parts
 
 	mu sync.Mutex
-	// running is nil while the server is dead.
+	// running is nil while the server is stopped.
 	running *parts
 	http    *http.Server
 	cancel  context.CancelFunc
 }
 
-// parts has what a server runs; engine or service is nil.
+// instance is what a server runs: either engine or service is nil.
 type parts struct {
 	engine  *engine.Engine
 	service *service.Service
 }
 
-func (parts parts) handler() http.Handler {
-	if parts.engine != nil {
-		return parts.engine.Handler()
+func (instance parts) handler() http.Handler {
+	if instance.engine != nil {
+		return instance.engine.Handler()
 	}
-	return parts.service.Handler()
+	return instance.service.Handler()
 }
 
-// start makes the server listen and, if it is an engine, compute.
+// start starts the HTTP server and, for an engine, its computation. It does
+// nothing if the server is running.
 func (server *server) start(ctx context.Context) error {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -48,22 +50,22 @@
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", server.vm.Address)
 	if err != nil {
-		return errors.Wrapf(err, "backend server %s", server.vm.ID)
+		return errors.Wrapf(err, "start backend server %s", server.vm.ID)
 	}
 	built := server.build()
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	serverContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	server.running = &built
 	server.cancel = cancel
-	server.http = &http.Server{Handler: built.handler()} //nolint:gosec // a stand-in, on loopback
+	server.http = &http.Server{Handler: built.handler()} //nolint:gosec // for tests, on loopback
 	if built.engine != nil {
 		go built.engine.Run()
-		go built.engine.Housekeep(life)
+		go built.engine.Housekeep(serverContext)
 	}
 	go func(http *http.Server) { _ = http.Serve(listener) }(server.http)
 	return nil
 }
 
-// kill closes all connections and forgets everything, as death would.
+// kill closes all connections and discards all state, like a crash.
 func (server *server) kill() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -78,6 +80,8 @@
 	server.running = nil
 }
 
+// drain makes the server refuse new requests. It does nothing if the server is
+// stopped.
 func (server *server) leave() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -90,7 +94,7 @@
 	}
 }
 
-// engine returns the engine while it lives, or nil.
+// engine returns the engine if the server is running one, or nil.
 func (server *server) engine() *engine.Engine {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -100,7 +104,7 @@
 	return server.running.engine
 }
 
-// service returns the service while it lives, or nil.
+// service returns the service if the server is running one, or nil.
 func (server *server) service() *service.Service {
 	server.mu.Lock()
 	defer server.mu.Unlock()
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -7,34 +7,36 @@
 	"github.com/mastwinch/mastwinch/internal/standin/logservice"
 )
 
-// Settings say which stand-ins run, and how.
+// Settings configures the simulated platform and the backend servers.
 type Settings struct {
-	// Address is where the platform's services listen.
+	// Address is the listen address of the platform's API. The backend servers
+	// listen on the same host.
 	Address string              `yaml:"address" validate:"hostname_port"`
 	Log     logservice.Settings `yaml:"log"`
 	VMList  VMListSettings      `yaml:"vm_list"`
 	Weights WeightSettings      `yaml:"weights"`
 	Engine  engine.Settings     `yaml:"engine"`
-	// Engines are groups of engines that are alike.
+	// Engines are groups of engines with the same configuration.
 	Engines  []EngineGroup  `yaml:"engines" validate:"min=1,dive"`
 	Services []ServiceGroup `yaml:"services" validate:"dive"`
-	// SystemVMs are the VMs that the system may run on. The list shows those
-	// that answer.
+	// SystemVMs are the VMs that the system may run on. The VM list contains
+	// the healthy ones.
 	SystemVMs []SystemVM `yaml:"system_vms" validate:"dive"`
 }
 
-// VMListSettings are those of the VM list.
+// VMListSettings configures the VM list. Lag is the time until a change becomes visible.
 type VMListSettings struct {
 	Lag time.Duration `yaml:"lag" validate:"min=0"`
 }
 
-// WeightSettings are those of the weight store.
+// WeightSettings configures the weight store: its total bandwidth and the size in
+// bytes of each model version's weights.
 type WeightSettings struct {
 	BytesPerSecond float64          `yaml:"bytes_per_second" validate:"gt=0"`
 	Sizes          map[string]int64 `yaml:"sizes" validate:"dive,min=1"`
 }
 
-// EngineGroup is a number of engines in one data centre, on consecutive ports.
+// EngineGroup is a group of engines in one data centre, on consecutive ports.
 type EngineGroup struct {
 	Name          string   `yaml:"name" validate:"required"`
 	DataCentre    string   `yaml:"data_centre" validate:"required"`
@@ -44,8 +46,8 @@
 	ChecksFencing bool     `yaml:"checks_fencing"`
 }
 
-// ServiceGroup is a number of services in one data centre, on consecutive
-// ports.
+// ServiceGroup is a group of instances of a plain service in one data centre, on
+// consecutive ports. Duration is the processing time of a call.
 type ServiceGroup struct {
 	Name          string        `yaml:"name" validate:"required"`
 	Service       string        `yaml:"service" validate:"required"`
@@ -56,7 +58,8 @@
 	ChecksFencing bool          `yaml:"checks_fencing"`
 }
 
-// SystemVM is a VM that the system may run on.
+// SystemVM is a VM that the system may run on. Address serves /healthz, and
+// KeeperAddress is where the VM's keeper process listens.
 type SystemVM struct {
 	ID            string `yaml:"id" validate:"required"`
 	DataCentre    string `yaml:"data_centre" validate:"required"`
@@ -64,7 +67,7 @@
 	KeeperAddress string `yaml:"keeper_address" validate:"hostname_port"`
 }
 
-// DefaultSettings returns settings without a fleet.
+// DefaultSettings returns settings without backend servers and VMs.
 func DefaultSettings() Settings {
 	return Settings{
 		Address: "127.0.0.1:7100",
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,6 @@
-// Package standin runs small stand-ins for the platform and for backend
-// servers in one process, with faults that can be switched at run time.
+// Package standin runs simulated backend servers and a simulated platform (log
+// service, VM list, weight store) in one process, for tests and load runs. Faults
+// can be injected at run time over HTTP.
 package standin
 
 import (
@@ -25,13 +26,13 @@
 	"github.com/mastwinch/mastwinch/internal/standin/weights"
 )
 
-// Probing of the system's VMs for the VM list.
+// Timing of the health checks of the system's VMs for the VM list.
 const (
 	probeInterval = 500 * time.Millisecond
 	probeTimeout  = 2 * time.Second
 )
 
-// Standin is all stand-ins of one process.
+// Standin has all simulated services and backend servers of one process.
 type Standin struct {
 	settings   Settings
 	logger     *slog.Logger
@@ -39,11 +40,13 @@
 	log        *logservice.LogService
 	vms        *vmlist.VMList
 	weights    *weights.Store
-	// servers has all backend servers, dead ones too.
+	// servers has all backend servers by ID, including stopped ones. It isn't
+	// changed after New.
 	servers map[string]*server
 }
 
-// New returns the stand-ins that settings describe, not yet started.
+// New returns the simulated services and servers that the settings describe. They
+// are started by Run.
 func New(settings Settings, logger *slog.Logger) *Standin {
 	standin := &Standin{
 		settings:   settings,
@@ -104,6 +107,7 @@
 	}
 }
 
+// engine returns the running engine with the given ID, or nil.
 func (standin *Standin) engine(id string) *engine.Engine {
 	server := standin.servers[id]
 	if server == nil {
@@ -112,7 +116,8 @@
 	return server.engine()
 }
 
-// Run serves until ctx is done.
+// Run starts all servers and serves the platform's API until ctx is done. It
+// returns an error if an address can't be listened on.
 func (standin *Standin) Run(ctx context.Context) error {
 	for _, server := range standin.servers {
 		err := server.start(ctx)
@@ -124,18 +129,19 @@
 	for _, vm := range standin.settings.SystemVMs {
 		go standin.probe(ctx, vm)
 	}
-	http := &http.Server{Addr: standin.settings.Address, Handler: standin.Handler()} //nolint:gosec // a stand-in, on loopback
+	http := &http.Server{Addr: standin.settings.Address, Handler: standin.Handler()} //nolint:gosec // for tests, on loopback
 	stop := context.AfterFunc(ctx, func() { _ = http.Close() })
 	defer stop()
-	standin.logger.Info("stand-ins serve", "address", standin.settings.Address, "backend_servers", len(standin.servers))
+	standin.logger.Info("serving simulated platform and backend servers", "address", standin.settings.Address, "backend_servers", len(standin.servers))
 	err := http.ListenAndServe()
 	if ctx.Err() != nil {
 		return nil
 	}
-	return errors.Wrap(err, "stand-ins")
+	return errors.Wrap(err, "serve simulated platform")
 }
 
-// Handler returns the HTTP interface of the platform, and of the faults.
+// Handler returns the HTTP handler of the platform's API and of the
+// administrative endpoints for faults, executions and loads.
 func (standin *Standin) Handler() http.Handler {
 	router := mux.NewRouter()
 	standin.log.Register(router)
@@ -147,16 +153,17 @@
 	return router
 }
 
-// probe keeps the VM in the list while its entry answers.
+// probe checks the health of a VM of the system until ctx is done, and lists it
+// in the VM list while it is healthy.
 func (standin *Standin) probe(ctx context.Context, vm SystemVM) {
 	client := &http.Client{Timeout: probeTimeout}
 	listed := false
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		alive := answers(ctx, client, "http://"+vm.Address+"/healthz")
+		healthy := answers(ctx, client, "http://"+vm.Address+"/healthz")
 		switch {
-		case alive && !listed:
+		case healthy && !listed:
 			standin.vms.Put(infra.VM{
 				ID:            vm.ID,
 				Address:       vm.Address,
@@ -164,10 +171,10 @@
 				Kind:          infra.KindSystem,
 				KeeperAddress: vm.KeeperAddress,
 			})
-		case !alive && listed:
+		case !healthy && listed:
 			standin.vms.Remove(vm.ID)
 		}
-		listed = alive
+		listed = healthy
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -176,8 +183,9 @@
 	}
 }
 
-func answers(ctx context.Context, client *http.Client, address string) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, http.NoBody)
+// isHealthy reports whether a GET request to the URL returns status 200.
+func answers(ctx context.Context, client *http.Client, url string) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return false
 	}
@@ -204,6 +212,9 @@
 	standin.logger.Info("faults changed", "faults", faults)
 }
 
+// apply changes the faults, then kills, starts and drains servers, in this order.
+// It returns an error if a server to kill, start or drain is unknown or can't be
+// started; unknown IDs of faults are ignored.
 func (standin *Standin) apply(ctx context.Context, faults Faults) error {
 	if faults.Log != nil {
 		standin.log.SetFaults(*faults.Log)
@@ -230,6 +241,8 @@
 	)
 }
 
+// forEach applies a function to the servers with the given IDs, until the first
+// error.
 func (standin *Standin) each(ctx context.Context, ids []string, apply func(context.Context, *server) error) error {
 	for _, id := range ids {
 		server := standin.servers[id]
@@ -265,7 +278,8 @@
 	_ = json.NewEncoder(w).Encode(standin.executions.All())
 }
 
-// handleLoads shows the true load of all engines, without the lag.
+// handleLoads returns the current load of all running engines, without the lag of
+// load reports.
 func (standin *Standin) handleLoads(w http.ResponseWriter, _ *http.Request) {
 	loads := make(map[string]backend.Load)
 	for id := range standin.servers {
