--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -10,26 +10,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is the length of a token of the prompts made here.
+// bytesPerToken is the length of a token of generated prompts, in bytes.
 const bytesPerToken = 4
 
-// Arrival is one request to be sent, at a moment that does not depend on how
-// the others fare.
+// Arrival is a request to be sent at a scheduled time, which doesn't depend on the
+// progress of other requests (an open-loop load).
 type Arrival struct {
-	Class        *Class
+	Class *Class
+	// At is the time since the start of the phase.
 	At           time.Duration
 	Organisation string
-	// Seed makes the prompt.
+	// Seed is the seed of the prompt's text.
 	Seed   uint64
 	Tokens int
-	// Entry is where the request is sent first.
+	// Entry is the index of the entry to which the request is sent first.
 	Entry int
-	// Duplicated says that it is sent twice.
+	// Duplicated makes the caller send the request twice at once.
 	Duplicated bool
 }
 
-// Arrivals returns the arrivals of a phase in order. A class has the same ones
-// whether or not others take part.
+// Arrivals returns the arrivals of a phase in order of time. The arrivals of a
+// class depend only on the settings' seed and the class, so that a phase with the
+// background classes has the same foreground requests as one without them.
 func Arrivals(settings Settings, background bool) []Arrival {
 	var arrivals []Arrival
 	for i := range settings.Classes {
@@ -44,7 +46,7 @@
 	return arrivals
 }
 
-// classArrivals returns a Poisson process.
+// classArrivals returns the arrivals of a class as a Poisson process.
 func classArrivals(settings Settings, class *Class, random *rand.Rand) []Arrival {
 	var arrivals []Arrival
 	at := time.Duration(0)
@@ -65,7 +67,7 @@
 	}
 }
 
-// Prompt returns the prompt of the arrival: text that no other has.
+// Prompt returns the prompt, a pseudo-random text that is unique to the arrival.
 func (arrival Arrival) Prompt() string {
 	const letters = "abcdefghijklmnopqrstuvwxyz012345"
 	random := rand.New(rand.NewPCG(arrival.Seed, 1)) //nolint:gosec // fixed seed
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -21,59 +21,67 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Waits of a caller.
+// Timeouts and limits of a caller.
 const (
+	// retryPause is the delay before the next attempt.
 	retryPause = 50 * time.Millisecond
-	// graceTime is how long after its stated time a caller waits for an
+	// graceTime is the time after its deadline for which a caller waits for an
 	// outcome before it counts the request as lost.
 	graceTime = 2 * time.Second
-	// maxEventBytes bounds one line of a stream.
+	// maxEventBytes is the maximum length of a line of an event stream.
 	maxEventBytes = 1 << 20
 )
 
-// Answer is what one caller saw of one request.
+// Result is a caller's observations of one request.
 type Answer struct {
 	Arrival   Arrival
 	RequestID string
 	Key       string
-	// Kind is empty if there was no outcome.
+	// Kind is the kind of outcome, or empty if there was none.
 	Kind   request.Kind
 	Reason request.Reason
-	// FirstToken is zero if there was none.
+	// FirstToken is the time to first token, or zero if there was none.
+	// InterTokenLatencies are the times between tokens.
 	FirstToken time.Duration
 	Gaps       []time.Duration
-	Total      time.Duration
-	Tokens     int
-	// Resumes counts how often the answer was read on elsewhere.
+	// Total is the time until the outcome, or until the caller gave up.
+	Total  time.Duration
+	Tokens int
+	// Resumes is the number of times the stream was resumed at another entry.
 	Resumes int
-	// Duplicate says that the answer was about an earlier submission.
+	// Duplicate reports that the response was that of an earlier submission with
+	// the same key.
 	Duplicate bool
-	// Doubled, Missing and Foreign count wrong tokens.
+	// DoubledTokens, MissingTokens and ForeignTokens are the numbers of tokens
+	// received twice, not received, and belonging to another prompt.
 	Doubled int
 	Missing int
 	Foreign int
 }
 
-// call is one request as its caller sees it.
+// caller sends one request and collects its result.
 type call struct {
 	answer  Answer
 	client  *http.Client
 	entries []string
-	// at is the entry that is used now.
-	at     int
-	body   []byte
+	// entryIndex is the index of the entry in use.
+	at   int
+	body []byte
+	// digest is the hash of the prompt, which identifies its tokens.
 	digest uint64
 	sent   time.Time
+	// lastTokenAt is the time of the last token, and lastEventID its event ID.
 	last   time.Time
 	lastID string
-	cut    bool
+	// disconnected reports that the caller has disconnected on purpose.
+	cut bool
 }
 
-// submit sends the arrival and reads its answer to the end, going on at the
-// next entry when it is cut off.
+// submit sends an arrival and reads its response to the end. After a failure, it
+// retries or resumes at the next entry.
 func submit(ctx context.Context, client *http.Client, entries []string, arrival Arrival, key string) Answer {
 	prompt := arrival.Prompt()
-	call := &call{
+	caller := &call{
 		answer:  Answer{Arrival: arrival, Key: key},
 		client:  client,
 		entries: entries,
@@ -81,20 +89,21 @@
 		body:    newBody(arrival, prompt, key),
 		digest:  xxhash.Sum64String(prompt),
 	}
-	call.sent = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, call.sent.Add(arrival.Class.Time+graceTime))
+	caller.sent = time.Now()
+	ctx, cancel := context.WithDeadline(ctx, caller.sent.Add(arrival.Class.Time+graceTime))
 	defer cancel()
-	for ctx.Err() == nil && call.answer.Kind == "" {
-		err := call.attempt(ctx)
+	for ctx.Err() == nil && caller.answer.Kind == "" {
+		err := caller.attempt(ctx)
 		if err != nil {
-			call.at = (call.at + 1) % len(entries)
+			caller.at = (caller.at + 1) % len(entries)
 			wait.For(ctx, retryPause)
 		}
 	}
-	call.answer.Total = time.Since(call.sent)
-	return call.answer
+	caller.answer.Total = time.Since(caller.sent)
+	return caller.answer
 }
 
+// newBody returns the body of the request that submits an arrival.
 func newBody(arrival Arrival, prompt, key string) []byte {
 	repeatable := !arrival.Class.Unrepeatable
 	var submission any = request.Submission{
@@ -115,92 +124,95 @@
 	}
 	body, err := json.Marshal(submission)
 	if err != nil {
-		panic(err) // the types above always can be encoded
+		panic(err) // can't happen: the types can be encoded
 	}
 	return body
 }
 
-// newKey returns a key for an unrepeatable request.
+// newKey returns a new idempotency key for an unrepeatable request.
 func newKey() string {
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-// attempt submits the request, or resumes it if its ID is known.
-func (call *call) attempt(ctx context.Context) error {
-	method, path, body := http.MethodPost, "/v1/requests", call.body
+// attempt submits the request, or resumes it if its ID is known. It returns an
+// error if there is no outcome yet.
+func (caller *call) attempt(ctx context.Context) error {
+	method, path, body := http.MethodPost, "/v1/requests", caller.body
 	switch {
-	case call.answer.RequestID != "" && call.streams():
-		method, path, body = http.MethodGet, "/v1/requests/"+call.answer.RequestID+"/stream", nil
-		call.answer.Resumes++
-	case call.answer.RequestID != "":
-		method, path, body = http.MethodGet, "/v1/requests/"+call.answer.RequestID, nil
-	case !call.streams():
-		path = "/v1/services/" + call.answer.Arrival.Class.Service
+	case caller.answer.RequestID != "" && caller.streams():
+		method, path, body = http.MethodGet, "/v1/requests/"+caller.answer.RequestID+"/stream", nil
+		caller.answer.Resumes++
+	case caller.answer.RequestID != "":
+		method, path, body = http.MethodGet, "/v1/requests/"+caller.answer.RequestID, nil
+	case !caller.streams():
+		path = "/v1/services/" + caller.answer.Arrival.Class.Service
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+call.entries[call.at]+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+caller.entries[caller.at]+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	httpRequest.Header.Set(entry.HeaderOrganisation, call.answer.Arrival.Organisation)
-	if call.lastID != "" {
-		httpRequest.Header.Set("Last-Event-ID", call.lastID)
+	httpRequest.Header.Set(entry.HeaderOrganisation, caller.answer.Arrival.Organisation)
+	if caller.lastID != "" {
+		httpRequest.Header.Set("Last-Event-ID", caller.lastID)
 	}
-	response, err := call.client.Do(httpRequest)
+	response, err := caller.client.Do(httpRequest)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		return call.readEvents(response)
+		return caller.readEvents(response)
 	}
-	return call.readStatus(response)
+	return caller.readStatus(response)
 }
 
-// streams reports whether the answer is a stream of tokens.
-func (call *call) streams() bool {
-	return call.answer.Arrival.Class.Service == ""
+// isStreaming reports whether the response is a stream of tokens.
+func (caller *call) streams() bool {
+	return caller.answer.Arrival.Class.Service == ""
 }
 
-// readStatus takes an answer that is not a stream.
-func (call *call) readStatus(response *http.Response) error {
+// readStatus handles a response that isn't an event stream.
+func (caller *call) readStatus(response *http.Response) error {
 	var status entry.Status
 	err := json.NewDecoder(response.Body).Decode(&status)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	if status.RequestID == "" {
-		return errors.Newf("status %d names no request", response.StatusCode)
+		return errors.Newf("response with status %d has no request ID", response.StatusCode)
 	}
 	if status.Reason == request.ReasonStopping && status.Outcome == request.KindFailedNotRun {
-		// The balancer would have sent it elsewhere.
-		return errors.New("the entry is stopping")
+		// A load balancer would have sent the request to another entry.
+		return errors.New("entry is shutting down")
 	}
-	call.answer.RequestID = status.RequestID
-	call.answer.Duplicate = call.answer.Duplicate || status.Duplicate
+	caller.answer.RequestID = status.RequestID
+	caller.answer.Duplicate = caller.answer.Duplicate || status.Duplicate
 	if status.Running {
-		return errors.New("still running")
+		return errors.New("request is still running")
 	}
-	call.end(status)
-	if call.streams() || status.Outcome != request.KindCompleted || !status.AnswerAvailable {
+	caller.end(status)
+	if caller.streams() || status.Outcome != request.KindCompleted || !status.AnswerAvailable {
 		return nil
 	}
-	call.answer.FirstToken = time.Since(call.sent)
-	call.answer.Tokens = 1
-	if xxhash.Sum64String(status.Text) != call.digest {
-		call.answer.Foreign++
+	caller.answer.FirstToken = time.Since(caller.sent)
+	caller.answer.Tokens = 1
+	if xxhash.Sum64String(status.Text) != caller.digest {
+		caller.answer.Foreign++
 	}
 	return nil
 }
 
-func (call *call) end(status entry.Status) {
-	call.answer.Kind = status.Outcome
-	call.answer.Reason = status.Reason
+// setOutcome sets the outcome.
+func (caller *call) end(status entry.Status) {
+	caller.answer.Kind = status.Outcome
+	caller.answer.Reason = status.Reason
 }
 
-// readEvents takes a stream until its outcome, and cuts it off once if the
-// class asks for that.
-func (call *call) readEvents(response *http.Response) error {
-	call.answer.RequestID = response.Header.Get(entry.HeaderRequestID)
+// readEvents handles an event stream until the outcome. It returns an error if the
+// stream ends without an outcome, or the caller disconnects on purpose as
+// configured for the class.
+func (caller *call) readEvents(response *http.Response) error {
+	caller.answer.RequestID = response.Header.Get(entry.HeaderRequestID)
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	var id, name string
@@ -212,7 +224,7 @@
 		case strings.HasPrefix(line, "event: "):
 			name = line[len("event: "):]
 		case strings.HasPrefix(line, "data: "):
-			done, err := call.event(name, id, line[len("data: "):])
+			done, err := caller.event(name, id, line[len("data: "):])
 			if done || err != nil {
 				return err
 			}
@@ -221,8 +233,8 @@
 	return errors.CombineErrors(errors.WithStack(lines.Err()), io.ErrUnexpectedEOF)
 }
 
-// event takes one event, and reports whether it was the last.
-func (call *call) event(name, id, data string) (bool, error) {
+// handleEvent handles one event, and reports whether it was the last.
+func (caller *call) event(name, id, data string) (bool, error) {
 	switch name {
 	case entry.EventToken:
 		var token entry.TokenEvent
@@ -230,11 +242,11 @@
 		if err != nil {
 			return false, errors.WithStack(err)
 		}
-		call.token(token)
-		call.lastID = id
-		if cutAfter := call.answer.Arrival.Class.CutAfter; cutAfter > 0 && !call.cut && call.answer.Tokens >= cutAfter {
-			call.cut = true
-			return false, errors.New("cut off on purpose")
+		caller.token(token)
+		caller.lastID = id
+		if cutAfter := caller.answer.Arrival.Class.CutAfter; cutAfter > 0 && !caller.cut && caller.answer.Tokens >= cutAfter {
+			caller.cut = true
+			return false, errors.New("caller disconnected on purpose")
 		}
 	case entry.EventDuplicate:
 		var status entry.Status
@@ -242,44 +254,44 @@
 		if err != nil {
 			return false, errors.WithStack(err)
 		}
-		call.answer.RequestID = status.RequestID
-		call.answer.Duplicate = true
-		return false, errors.New("another request has the key")
+		caller.answer.RequestID = status.RequestID
+		caller.answer.Duplicate = true
+		return false, errors.New("key belongs to an earlier request")
 	case entry.EventOutcome:
 		var status entry.Status
 		err := json.Unmarshal([]byte(data), &status)
 		if err != nil {
 			return false, errors.WithStack(err)
 		}
-		call.end(status)
+		caller.end(status)
 		return true, nil
 	}
 	return false, nil
 }
 
-// token checks one token against what was asked.
-func (call *call) token(token entry.TokenEvent) {
+// token records a token, and checks its number and text against the expected ones.
+func (caller *call) token(token entry.TokenEvent) {
 	now := time.Now()
-	if call.answer.Tokens == 0 {
-		call.answer.FirstToken = now.Sub(call.sent)
+	if caller.answer.Tokens == 0 {
+		caller.answer.FirstToken = now.Sub(caller.sent)
 	} else {
-		call.answer.Gaps = append(call.answer.Gaps, now.Sub(call.last))
+		caller.answer.Gaps = append(caller.answer.Gaps, now.Sub(caller.last))
 	}
-	call.last = now
+	caller.last = now
 	switch {
-	case token.Seq < call.answer.Tokens:
-		call.answer.Doubled++
-	case token.Seq > call.answer.Tokens:
-		call.answer.Missing += token.Seq - call.answer.Tokens
+	case token.Seq < caller.answer.Tokens:
+		caller.answer.Doubled++
+	case token.Seq > caller.answer.Tokens:
+		caller.answer.Missing += token.Seq - caller.answer.Tokens
 	}
-	if token.Text != engine.TokenText(call.digest, token.Seq) {
-		call.answer.Foreign++
+	if token.Text != engine.TokenText(caller.digest, token.Seq) {
+		caller.answer.Foreign++
 	}
-	call.answer.Tokens = token.Seq + 1
+	caller.answer.Tokens = token.Seq + 1
 }
 
-// String names the answer in messages.
-func (answer Answer) String() string {
-	return fmt.Sprintf("%s %s (%s, %d tokens): %s %s", answer.Arrival.Class.Name, answer.RequestID,
-		answer.Arrival.Organisation, answer.Arrival.Tokens, answer.Kind, answer.Reason)
+// String describes the result for messages.
+func (result Answer) String() string {
+	return fmt.Sprintf("%s %s (%s, %d tokens): %s %s", result.Arrival.Class.Name, result.RequestID,
+		result.Arrival.Organisation, result.Arrival.Tokens, result.Kind, result.Reason)
 }
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -12,10 +12,11 @@
 	"github.com/mastwinch/mastwinch/internal/request"
 )
 
-// submitDirect sends the arrival to one of the engines and reads its answer.
+// submitDirect sends an arrival to one of the engines, chosen by the arrival's
+// seed, and reads the response.
 func submitDirect(ctx context.Context, engines backend.Engine, addresses []string, arrival Arrival) Answer {
 	prompt := arrival.Prompt()
-	call := &call{
+	caller := &call{
 		answer: Answer{Arrival: arrival, RequestID: "direct." + uuid.NewString()},
 		digest: xxhash.Sum64String(prompt),
 		sent:   time.Now(),
@@ -23,8 +24,8 @@
 	ctx, cancel := context.WithTimeout(ctx, arrival.Class.Time)
 	defer cancel()
 	stream, err := engines.Generate(ctx, addresses[arrival.Seed%uint64(len(addresses))], backend.Dispatch{
-		Attempt:      call.answer.RequestID,
-		Request:      call.answer.RequestID,
+		Attempt:      caller.answer.RequestID,
+		Request:      caller.answer.RequestID,
 		Organisation: arrival.Organisation,
 		Owner:        "direct",
 		Model:        arrival.Class.Model,
@@ -34,30 +35,31 @@
 		TimeLeft:     arrival.Class.Time,
 	})
 	if err != nil {
-		call.answer.Kind = request.KindFailedMayHaveRun
-		call.answer.Total = time.Since(call.sent)
-		return call.answer
+		caller.answer.Kind = request.KindFailedMayHaveRun
+		caller.answer.Total = time.Since(caller.sent)
+		return caller.answer
 	}
 	defer stream.Close()
-	call.readFrames(stream)
-	call.answer.Total = time.Since(call.sent)
-	return call.answer
+	caller.readFrames(stream)
+	caller.answer.Total = time.Since(caller.sent)
+	return caller.answer
 }
 
-func (call *call) readFrames(stream backend.Stream) {
+// readFrames reads a stream of an engine until its end.
+func (caller *call) readFrames(stream backend.Stream) {
 	for {
 		frame, err := stream.Next()
 		switch {
 		case err != nil:
-			call.answer.Kind = request.KindFailedMayHaveRun
+			caller.answer.Kind = request.KindFailedMayHaveRun
 			return
 		case frame.End == backend.EndCompleted:
-			call.answer.Kind = request.KindCompleted
+			caller.answer.Kind = request.KindCompleted
 			return
 		case frame.End != backend.EndNone:
-			call.answer.Kind = request.KindFailedMayHaveRun
+			caller.answer.Kind = request.KindFailedMayHaveRun
 			return
 		}
-		call.token(entry.TokenEvent{Seq: frame.Seq, Text: frame.Text})
+		caller.token(entry.TokenEvent{Seq: frame.Seq, Text: frame.Text})
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends a stated mix of requests as real callers would, checks
-// every answer, and reports times by class.
+// Package load is a load generator. It sends a configured mix of requests like
+// callers do, checks every response, and reports latencies by class of requests.
+// Requests are sent to entries, the HTTP servers of the system for callers.
 package load
 
 import (
@@ -17,19 +18,19 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Connections that callers keep open.
+// Number of idle connections kept open, and interval of progress messages.
 const (
 	maxIdleConns   = 2048
 	progressPeriod = 5 * time.Second
 )
 
-// Names of phases.
+// Names of the phases: without and with the background classes.
 const (
 	phaseAlone = "alone"
 	phaseMixed = "mixed"
 )
 
-// Load is one run.
+// Load is a load run.
 type Load struct {
 	settings Settings
 	client   *http.Client
@@ -37,7 +38,7 @@
 	logger   *slog.Logger
 }
 
-// New returns a run of the load that settings describe.
+// New returns a load run with the given settings.
 func New(settings Settings, logger *slog.Logger) *Load {
 	return &Load{
 		settings: settings,
@@ -51,31 +52,32 @@
 	}
 }
 
-// Run sends the load, first without the background classes if there are any,
-// and reports.
+// Run sends the load and returns the report. If there are background classes, a
+// phase without them comes first. An error means that the run was cancelled or the
+// record of executions is unavailable; the report then has no check.
 func (load *Load) Run(ctx context.Context) (Report, error) {
 	report := Report{Seed: load.settings.Seed}
-	var all []Answer
+	var results []Answer
 	if load.hasBackground() {
-		answers := load.phase(ctx, phaseAlone, Arrivals(load.settings, false))
-		report.Phases = append(report.Phases, newPhase(phaseAlone, answers))
-		all = append(all, answers...)
+		phaseResults := load.phase(ctx, phaseAlone, Arrivals(load.settings, false))
+		report.Phases = append(report.Phases, newPhase(phaseAlone, phaseResults))
+		results = append(results, phaseResults...)
 	}
-	answers := load.phase(ctx, phaseMixed, Arrivals(load.settings, true))
-	report.Phases = append(report.Phases, newPhase(phaseMixed, answers))
-	all = append(all, answers...)
+	phaseResults := load.phase(ctx, phaseMixed, Arrivals(load.settings, true))
+	report.Phases = append(report.Phases, newPhase(phaseMixed, phaseResults))
+	results = append(results, phaseResults...)
 	if len(report.Phases) > 1 {
 		report.Slowdowns = newSlowdowns(report.Phases[0], report.Phases[1])
 	}
 	if ctx.Err() != nil {
-		return report, errors.Wrap(ctx.Err(), "load: not finished")
+		return report, errors.Wrap(ctx.Err(), "load run cancelled")
 	}
 	executions, err := load.executions(ctx)
 	if err != nil {
 		return report, err
 	}
-	report.Check = newCheck(all, executions, load.settings.Platform != "")
-	load.logBroken(all)
+	report.Check = newCheck(results, executions, load.settings.Platform != "")
+	load.logBroken(results)
 	return report, nil
 }
 
@@ -88,32 +90,32 @@
 	return false
 }
 
-// phase sends arrivals at their moments and waits for all answers.
+// phase sends the arrivals at their scheduled times and waits for all results.
 func (load *Load) phase(ctx context.Context, name string, arrivals []Arrival) []Answer {
-	load.logger.Info("phase starts", "phase", name, "requests", len(arrivals), "duration", load.settings.Duration)
+	load.logger.Info("starting phase", "phase", name, "requests", len(arrivals), "duration", load.settings.Duration)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	var answers []Answer
+	var requests sync.WaitGroup
+	var results []Answer
 	started := time.Now()
-	stop := load.progress(&mu, &answers, len(arrivals))
+	stop := load.progress(&mu, &results, len(arrivals))
 	defer stop()
 	for _, arrival := range arrivals {
 		wait.For(ctx, time.Until(started.Add(arrival.At)))
 		if ctx.Err() != nil {
 			break
 		}
-		all.Go(func() {
-			got := load.send(ctx, arrival)
+		requests.Go(func() {
+			arrivalResults := load.send(ctx, arrival)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, got...)
+			results = append(results, arrivalResults...)
 		})
 	}
-	all.Wait()
-	return answers
+	requests.Wait()
+	return results
 }
 
-// send sends an arrival, twice if it is to be duplicated.
+// send sends an arrival and returns its result, or two results if it is duplicated.
 func (load *Load) send(ctx context.Context, arrival Arrival) []Answer {
 	if arrival.Class.Direct {
 		return []Answer{submitDirect(ctx, load.backends, load.settings.Engines, arrival)}
@@ -127,12 +129,14 @@
 	}
 	second := arrival
 	second.Entry = (arrival.Entry + 1) % len(load.settings.Entries)
-	other := make(chan Answer, 1)
-	go func() { other <- submit(ctx, load.client, load.settings.Entries, second, key) }()
-	return []Answer{submit(ctx, load.client, load.settings.Entries, arrival, key), <-other}
+	secondResult := make(chan Answer, 1)
+	go func() { secondResult <- submit(ctx, load.client, load.settings.Entries, second, key) }()
+	return []Answer{submit(ctx, load.client, load.settings.Entries, arrival, key), <-secondResult}
 }
 
-func (load *Load) progress(mu *sync.Mutex, answers *[]Answer, total int) func() {
+// progress logs the number of results periodically until the returned function is
+// called.
+func (load *Load) progress(mu *sync.Mutex, results *[]Answer, total int) func() {
 	ticker := time.NewTicker(progressPeriod)
 	done := make(chan struct{})
 	go func() {
@@ -140,9 +144,9 @@
 			select {
 			case <-ticker.C:
 				mu.Lock()
-				answered := len(*answers)
+				finished := len(*results)
 				mu.Unlock()
-				load.logger.Info("progress", "answered", answered, "of", total)
+				load.logger.Info("requests in progress", "answered", finished, "of", total)
 			case <-done:
 				return
 			}
@@ -154,31 +158,33 @@
 	}
 }
 
-// executions returns what the stand-ins really ran.
+// executions returns the requests that the simulated backend servers ran, or nil
+// if no platform is configured.
 func (load *Load) executions(ctx context.Context) ([]execution.Execution, error) {
 	if load.settings.Platform == "" {
 		return nil, nil
 	}
-	asked, err := http.NewRequestWithContext(ctx, http.MethodGet, load.settings.Platform+"/admin/executions", http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, load.settings.Platform+"/admin/executions", http.NoBody)
 	if err != nil {
-		return nil, errors.Wrap(err, "load: executions")
+		return nil, errors.Wrap(err, "load: read executions")
 	}
-	response, err := load.client.Do(asked)
+	response, err := load.client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "load: executions")
+		return nil, errors.Wrap(err, "load: read executions")
 	}
 	defer func() { _ = response.Body.Close() }()
 	var executions []execution.Execution
 	err = json.NewDecoder(response.Body).Decode(&executions)
-	return executions, errors.Wrap(err, "load: executions")
+	return executions, errors.Wrap(err, "load: read executions")
 }
 
-func (load *Load) logBroken(answers []Answer) {
-	for _, answer := range answers {
-		check := newCheck([]Answer{answer}, nil, true)
+// logViolations logs each result that violates a guarantee.
+func (load *Load) logBroken(results []Answer) {
+	for _, result := range results {
+		check := newCheck([]Answer{result}, nil, true)
 		if check.Broken() {
-			load.logger.Warn("promise broken", "answer", answer.String(), "total", answer.Total,
-				"time", answer.Arrival.Class.Time, "tokens", answer.Tokens, "resumes", answer.Resumes,
+			load.logger.Warn("guarantee violated", "answer", result.String(), "total", result.Total,
+				"time", result.Arrival.Class.Time, "tokens", result.Tokens, "resumes", result.Resumes,
 				"lost", check.Lost, "late", check.Late, "doubled", check.Doubled, "missing", check.Missing, "foreign", check.Foreign)
 		}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -14,14 +14,15 @@
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 )
 
-// Range of histograms, in microseconds.
+// Range of the latency histograms in microseconds, and their number of significant
+// digits.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Percentiles are in milliseconds.
+// Percentiles are percentiles of Count latencies, in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -29,7 +30,8 @@
 	P99   float64 `json:"p99_ms"`
 }
 
-// ClassReport is about the requests of one class in one phase.
+// ClassReport summarises the requests of a class in a phase. FirstToken is the time
+// to first token, and InterTokenLatency the time between tokens.
 type ClassReport struct {
 	Class       string         `json:"class"`
 	Requests    int            `json:"requests"`
@@ -41,48 +43,53 @@
 	TotalTokens int            `json:"tokens"`
 }
 
-// Check counts broken promises. All of them must be zero.
+// Check counts violations of the system's guarantees. All counts must be zero.
 type Check struct {
-	// Lost requests got no outcome.
+	// Lost is the number of requests without an outcome.
 	Lost int `json:"lost"`
-	// Late requests got theirs after the stated time.
+	// Late is the number of requests whose outcome came after the caller's deadline.
 	Late int `json:"late"`
-	// Doubled tokens came twice.
+	// DoubledTokens is the number of tokens received twice.
 	Doubled int `json:"doubled_tokens"`
-	// Missing tokens never came in answers that were called completed.
+	// MissingTokens is the number of tokens skipped in streams, or missing at the end of
+	// responses with the outcome completed.
 	Missing int `json:"missing_tokens"`
-	// Foreign tokens belong to the answer of another prompt.
+	// ForeignTokens is the number of tokens that belong to the response to another prompt.
 	Foreign int `json:"foreign_tokens"`
-	// Repeated keys were run more than once.
+	// KeysRunTwice is the number of idempotency keys whose requests ran more than once.
 	Repeated int `json:"keys_run_twice"`
-	// RunAfterAll requests were run though the caller was told otherwise.
+	// RunDespiteNotRun is the number of requests that ran although their outcome states
+	// that they did not run.
 	RunAfterAll int `json:"run_though_not_run"`
-	// Unverified says that nobody could tell what really ran.
+	// Unverified reports that no record of executions was available, so that
+	// KeysRunTwice and RunDespiteNotRun were not checked.
 	Unverified bool `json:"unverified,omitempty"`
 }
 
-// Broken reports whether any promise was broken.
+// Violated reports whether any guarantee was violated.
 func (check Check) Broken() bool {
 	check.Unverified = false
 	return check != Check{}
 }
 
-// Phase is one part of a run.
+// Phase has the results of a phase of a load run, by class.
 type Phase struct {
 	Name    string        `json:"phase"`
 	Classes []ClassReport `json:"classes"`
 }
 
-// Slowdown compares a class with and without the background classes.
+// Slowdown compares the latencies of a class with and without the background
+// classes.
 type Slowdown struct {
 	Class string `json:"class"`
-	// Each is the first token with the background over that without it.
+	// Each is the ratio of the time to first token with the background classes to
+	// that without them.
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Report is about one run.
+// Report is the report on a load run.
 type Report struct {
 	Seed      uint64     `json:"seed"`
 	Phases    []Phase    `json:"phases"`
@@ -90,50 +97,53 @@
 	Check     Check      `json:"check"`
 }
 
-func newPhase(name string, answers []Answer) Phase {
+// newPhase returns the report on a phase.
+func newPhase(name string, results []Answer) Phase {
 	byClass := make(map[string][]Answer)
-	for _, answer := range answers {
-		class := answer.Arrival.Class.Name
-		byClass[class] = append(byClass[class], answer)
+	for _, result := range results {
+		class := result.Arrival.Class.Name
+		byClass[class] = append(byClass[class], result)
 	}
 	phase := Phase{Name: name}
-	for class, answers := range byClass {
-		phase.Classes = append(phase.Classes, newClassReport(class, answers))
+	for class, results := range byClass {
+		phase.Classes = append(phase.Classes, newClassReport(class, results))
 	}
 	slices.SortFunc(phase.Classes, func(a, b ClassReport) int { return cmp.Compare(a.Class, b.Class) })
 	return phase
 }
 
-func newClassReport(class string, answers []Answer) ClassReport {
-	report := ClassReport{Class: class, Requests: len(answers), Outcomes: make(map[string]int)}
-	first, gaps := newHistogram(), newHistogram()
-	for _, answer := range answers {
-		if answer.FirstToken > 0 {
-			record(first, answer.FirstToken)
+func newClassReport(class string, results []Answer) ClassReport {
+	report := ClassReport{Class: class, Requests: len(results), Outcomes: make(map[string]int)}
+	firstTokens, gaps := newHistogram(), newHistogram()
+	for _, result := range results {
+		if result.FirstToken > 0 {
+			record(firstTokens, result.FirstToken)
 		}
-		for _, gap := range answer.Gaps {
+		for _, gap := range result.Gaps {
 			record(gaps, gap)
 		}
-		report.Outcomes[outcomeName(answer)]++
-		report.Resumes += answer.Resumes
-		report.TotalTokens += answer.Tokens
-		if answer.Duplicate {
+		report.Outcomes[outcomeName(result)]++
+		report.Resumes += result.Resumes
+		report.TotalTokens += result.Tokens
+		if result.Duplicate {
 			report.Duplicates++
 		}
 	}
-	report.FirstToken = percentiles(first)
+	report.FirstToken = percentiles(firstTokens)
 	report.TokenGap = percentiles(gaps)
 	return report
 }
 
-func outcomeName(answer Answer) string {
+// outcomeName returns the outcome and its reason, if any, or "lost" without an
+// outcome.
+func outcomeName(result Answer) string {
 	switch {
-	case answer.Kind == "":
+	case result.Kind == "":
 		return "lost"
-	case answer.Reason == request.ReasonNone:
-		return string(answer.Kind)
+	case result.Reason == request.ReasonNone:
+		return string(result.Kind)
 	default:
-		return string(answer.Kind) + "/" + string(answer.Reason)
+		return string(result.Kind) + "/" + string(result.Reason)
 	}
 }
 
@@ -141,6 +151,7 @@
 	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
+// record adds a latency to a histogram, limited to the histogram's range.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(max(histogramMin, min(value.Microseconds(), histogramMax)))
 }
@@ -152,9 +163,10 @@
 	return Percentiles{Count: histogram.TotalCount(), P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// newCheck compares what callers saw with what was promised, and with what
-// the backend servers really ran.
-func newCheck(answers []Answer, executions []execution.Execution, verified bool) Check {
+// newCheck checks the results against the system's guarantees, and against the
+// executions by the backend servers. verified reports whether executions were
+// available.
+func newCheck(results []Answer, executions []execution.Execution, verified bool) Check {
 	check := Check{Unverified: !verified}
 	byRequest := make(map[string]int)
 	byKey := make(map[string]int)
@@ -164,8 +176,8 @@
 			byKey[execution.Key]++
 		}
 	}
-	for _, answer := range answers {
-		check.add(answer, byRequest)
+	for _, result := range results {
+		check.add(result, byRequest)
 	}
 	for _, runs := range byKey {
 		if runs > 1 {
@@ -175,46 +187,50 @@
 	return check
 }
 
-func (check *Check) add(answer Answer, runs map[string]int) {
-	if answer.Kind == "" {
+// add counts the violations of one result. runs has the number of executions by
+// request ID.
+func (check *Check) add(result Answer, runs map[string]int) {
+	if result.Kind == "" {
 		check.Lost++
-	} else if answer.Total > answer.Arrival.Class.Time {
+	} else if result.Total > result.Arrival.Class.Time {
 		check.Late++
 	}
-	check.Doubled += answer.Doubled
-	check.Missing += answer.Missing
-	check.Foreign += answer.Foreign
-	whole := answer.Arrival.Class.MaxTokens
-	if answer.Arrival.Class.Service != "" {
-		whole = 1
+	check.Doubled += result.Doubled
+	check.Missing += result.Missing
+	check.Foreign += result.Foreign
+	expectedTokens := result.Arrival.Class.MaxTokens
+	if result.Arrival.Class.Service != "" {
+		expectedTokens = 1
 	}
-	if answer.Kind == request.KindCompleted && !answer.Duplicate {
-		check.Missing += max(0, whole-answer.Tokens)
+	if result.Kind == request.KindCompleted && !result.Duplicate {
+		check.Missing += max(0, expectedTokens-result.Tokens)
 	}
-	if answer.Kind == request.KindFailedNotRun && runs[answer.RequestID] > 0 {
+	if result.Kind == request.KindFailedNotRun && runs[result.RequestID] > 0 {
 		check.RunAfterAll++
 	}
 }
 
-func newSlowdowns(without, with Phase) []Slowdown {
+// newSlowdowns compares the classes that are in both phases.
+func newSlowdowns(alonePhase, mixedPhase Phase) []Slowdown {
 	var slowdowns []Slowdown
-	for _, alone := range without.Classes {
-		for _, loaded := range with.Classes {
-			if alone.Class != loaded.Class || alone.FirstToken.Count == 0 {
+	for _, alone := range alonePhase.Classes {
+		for _, mixed := range mixedPhase.Classes {
+			if alone.Class != mixed.Class || alone.FirstToken.Count == 0 {
 				continue
 			}
 			slowdowns = append(slowdowns, Slowdown{
 				Class: alone.Class,
-				P50:   loaded.FirstToken.P50 / alone.FirstToken.P50,
-				P95:   loaded.FirstToken.P95 / alone.FirstToken.P95,
-				P99:   loaded.FirstToken.P99 / alone.FirstToken.P99,
+				P50:   mixed.FirstToken.P50 / alone.FirstToken.P50,
+				P95:   mixed.FirstToken.P95 / alone.FirstToken.P95,
+				P99:   mixed.FirstToken.P99 / alone.FirstToken.P99,
 			})
 		}
 	}
 	return slowdowns
 }
 
-// Print writes the report as a table.
+// Print writes the report as text: a table of latencies by class, outcomes,
+// slowdowns and violations.
 func (report Report) Print(w io.Writer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "phase\tclass\trequests\tfirst token p50\tp95\tp99\tbetween tokens p50\tp95\tp99\tresumed\t")
@@ -233,13 +249,14 @@
 			slowdown.Class, slowdown.P50, slowdown.P95, slowdown.P99)
 	}
 	check := report.Check
-	fmt.Fprintf(w, "lost %d, late %d, doubled tokens %d, missing tokens %d, foreign tokens %d, keys run twice %d, run though said not to be %d\n",
+	fmt.Fprintf(w, "lost %d, late %d, doubled tokens %d, missing tokens %d, foreign tokens %d, keys run twice %d, run although reported as not run %d\n",
 		check.Lost, check.Late, check.Doubled, check.Missing, check.Foreign, check.Repeated, check.RunAfterAll)
 	if check.Unverified {
-		fmt.Fprintln(w, "what really ran is not verified: the stand-ins gave no record")
+		fmt.Fprintln(w, "executions not verified: no record of executions available")
 	}
 }
 
+// printOutcomes writes the number of requests by phase, class and outcome.
 func (report Report) printOutcomes(w io.Writer) {
 	for _, phase := range report.Phases {
 		for _, class := range phase.Classes {
