--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity measures how the cost of each part grows, at four sizes
-// each, so that the cost at a larger size can be worked out.
+// Package capacity measures the memory, CPU and network costs of the system's
+// components at four sizes each, so that the costs at larger sizes can be
+// extrapolated linearly.
 package capacity
 
 import (
@@ -30,33 +31,36 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// model is what engines serve here.
+// model is the model of all engines.
 const model = "clerk"
 
-// Repeats of what is too quick to be measured once.
+// Numbers of repetitions per measurement of operations that are too fast to be
+// measured once, and the number of keys per batch of records.
 const (
 	decisions     = 20_000
 	pollRounds    = 20
 	changes       = 50
 	keysPerEntry  = 10
-	stateOverhead = 2 // collections, to let go of what is not held
+	stateOverhead = 2 // garbage collections before the heap is measured, so that unreachable memory isn't counted
 )
 
-// Series is a cost at several sizes.
+// Series has the cost of a component at several sizes.
 type Series struct {
-	Name   string
+	Name string
+	// Unit is the unit of the cost, and PerUnit the unit of the size.
 	Unit   string
 	Of     string
 	Points []Point
 }
 
-// Point is a cost at one size.
+// Point is the cost at one size.
 type Point struct {
 	Size int
 	Cost float64
 }
 
-// Slope returns the cost at size zero and the cost of one more.
+// Slope fits a line to the points. It returns the cost at size zero and the
+// additional cost per unit of size.
 func (series Series) Slope() (float64, float64) {
 	sizes := make([]float64, 0, len(series.Points))
 	costs := make([]float64, 0, len(series.Points))
@@ -67,7 +71,8 @@
 	return stat.LinearRegression(sizes, costs, nil, false)
 }
 
-// Measure returns all series.
+// Measure runs all measurements and returns their series. It returns an error if a
+// load poll fails.
 func Measure(ctx context.Context) ([]Series, error) {
 	polls, err := measurePolls(ctx)
 	if err != nil {
@@ -98,6 +103,7 @@
 	}, nil
 }
 
+// newSeries returns a series of the cost at each size.
 func measure(name, unit, of string, sizes []int, cost func(size int) float64) Series {
 	series := Series{Name: name, Unit: unit, Of: of}
 	for _, size := range sizes {
@@ -106,7 +112,8 @@
 	return series
 }
 
-// keyRecords returns the records of that many keys, each begun and finished.
+// keyRecords returns a batch with the begin and finish records of the given number
+// of keys.
 func keyRecords(size int) *wire.Batch {
 	batch := &wire.Batch{}
 	for i := range size {
@@ -124,22 +131,25 @@
 	return batch
 }
 
-// withKeys returns a state with that many keys, read from the log.
+// stateWithKeys returns a state after applying the records of the given number of
+// keys, in encoded batches as on the log.
 func withKeys(size int) *state.State {
-	folded := state.New()
+	current := state.New()
 	for range size / keysPerEntry {
 		data, err := proto.Marshal(keyRecords(keysPerEntry))
 		if err != nil {
-			panic(err) // the types above always can be encoded
+			panic(err) // can't happen: the records can be encoded
 		}
-		_, err = folded.Apply(folded.Next, state.DecodeBatch(data))
+		_, err = current.Apply(current.Next, state.DecodeBatch(data))
 		if err != nil {
-			panic(err) // offsets above are in order
+			panic(err) // can't happen: offsets are consecutive
 		}
 	}
-	return folded
+	return current
 }
 
+// loadsFrame returns a message from a keeper to an entry with the load reports of
+// the given number of engines.
 func loadsFrame(size int) *wire.ServerFrame {
 	loads := &wire.Loads{}
 	for i := range size {
@@ -150,14 +160,16 @@
 	return &wire.ServerFrame{Body: &wire.ServerFrame_Loads{Loads: loads}}
 }
 
+// stateWithOrganisations returns a state with the given number of organisations.
 func withOrganisations(size int) *state.State {
-	folded := state.New()
+	current := state.New()
 	for i := range size {
-		apply(folded, uint64(i), putOrganisation(i, 0))
+		apply(current, uint64(i), putOrganisation(i, 0))
 	}
-	return folded
+	return current
 }
 
+// putOrganisation returns a record that stores an organisation.
 func putOrganisation(i int, version uint64) *wire.Record {
 	return &wire.Record{Body: &wire.Record_PutOrganisation{PutOrganisation: &wire.PutOrganisation{
 		Organisation:    &wire.Organisation{Name: fmt.Sprintf("organisation-%d", i), Weight: 1, MaxConcurrent: 8},
@@ -165,32 +177,36 @@
 	}}}
 }
 
-func apply(folded *state.State, offset uint64, record *wire.Record) {
-	_, err := folded.Apply(offset, &wire.Batch{Records: []*wire.Record{record}})
+// apply applies one record at the given offset.
+func apply(current *state.State, offset uint64, record *wire.Record) {
+	_, err := current.Apply(offset, &wire.Batch{Records: []*wire.Record{record}})
 	if err != nil {
-		panic(err) // offsets above are in order
+		panic(err) // can't happen: offsets are consecutive
 	}
 }
 
+// measureConfigurationChange returns the CPU time in microseconds of applying one
+// change to a state with the given number of organisations.
 func measureChange(size int) float64 {
-	folded := withOrganisations(size)
+	current := withOrganisations(size)
 	return microseconds(func() {
 		for i := range changes {
-			apply(folded, folded.Next, putOrganisation(size+i, 0))
+			apply(current, current.Next, putOrganisation(size+i, 0))
 		}
 	}) / changes
 }
 
-// measureDecision is the cost of one snapshot and one decision.
+// measureDecision returns the CPU time in microseconds of a snapshot of the given
+// number of servers and a routing decision for a short prompt.
 func measureDecision(size int) float64 {
 	servers := fleet.New(fleet.DefaultSettings(), time.Now)
-	listed := &wire.Fleet{}
+	fleetMessage := &wire.Fleet{}
 	for i := range size {
-		listed.Servers = append(listed.Servers, &wire.Server{
+		fleetMessage.Servers = append(fleetMessage.Servers, &wire.Server{
 			Id: fmt.Sprintf("engine-%03d", i), Kind: infra.KindEngine, Models: []string{model}, MemoryTokens: 1 << 19,
 		})
 	}
-	servers.SetFleet(listed)
+	servers.SetFleet(fleetMessage)
 	policy := routing.NewLengthAware(routing.DefaultLengthAwareSettings())
 	random := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // fixed seed
 	request := routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: time.Second}
@@ -201,14 +217,14 @@
 	}) / decisions
 }
 
-// measurePolls is the cost of asking engines for their load once each, both
-// ends together, over HTTP on this machine.
+// measurePolls measures the CPU time of polling each engine's load once over HTTP
+// on this machine, of client and servers together.
 func measurePolls(ctx context.Context) (Series, error) {
 	series := Series{Name: "one round of load polls (both ends)", Unit: "µs CPU", Of: "engine"}
 	client := backend.NewHTTPBackend()
 	for _, size := range []int{10, 20, 40, 80} {
 		addresses, stop := startEngines(size)
-		err := pollAll(ctx, client, addresses) // opens the connections
+		err := pollAll(ctx, client, addresses) // opens the connections before the measurement
 		if err != nil {
 			stop()
 			return series, err
@@ -227,13 +243,15 @@
 	return series, nil
 }
 
+// startEngines starts HTTP servers of simulated engines. It returns their addresses
+// and a function that stops them.
 func startEngines(size int) ([]string, func()) {
 	addresses := make([]string, 0, size)
 	servers := make([]*httptest.Server, 0, size)
 	for i := range size {
-		one := engine.New(fmt.Sprintf("engine-%d", i), []string{model}, true, engine.DefaultSettings(),
+		created := engine.New(fmt.Sprintf("engine-%d", i), []string{model}, true, engine.DefaultSettings(),
 			execution.New(), func(string) *engine.Engine { return nil }, nil)
-		server := httptest.NewServer(one.Handler())
+		server := httptest.NewServer(created.Handler())
 		servers = append(servers, server)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
@@ -245,6 +263,7 @@
 	}
 }
 
+// pollAll polls the load of each engine once, one after another.
 func pollAll(ctx context.Context, client *backend.HTTPBackend, addresses []string) error {
 	for _, address := range addresses {
 		_, err := client.Load(ctx, address)
@@ -255,7 +274,7 @@
 	return nil
 }
 
-// heapOf returns how many bytes more are in use with what build makes.
+// heapGrowth returns the memory that the result of build uses, in bytes.
 func heapOf(build func() *state.State) float64 {
 	before := heap()
 	built := build()
@@ -264,6 +283,7 @@
 	return float64(after) - float64(before)
 }
 
+// heapInUse returns the size of reachable heap memory in bytes.
 func heap() uint64 {
 	for range stateOverhead {
 		runtime.GC()
@@ -273,23 +293,25 @@
 	return stats.HeapAlloc
 }
 
-// microseconds returns the processor time of this process while work runs.
+// cpuMicroseconds returns the CPU time in microseconds that this process uses
+// while work runs.
 func microseconds(work func()) float64 {
 	before := processorTime()
 	work()
 	return float64(processorTime()-before) / float64(time.Microsecond)
 }
 
+// cpuTime returns the user and system CPU time of this process so far.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	if err != nil {
-		panic(err) // only for a wrong argument
+		panic(err) // can't happen: the argument is valid
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Print writes the series as a table in Markdown.
+// Print writes the series as a Markdown table.
 func Print(w io.Writer, all []Series) {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(table, "| cost\t| at four sizes\t| base\t| slope\t|")
