--- a/internal/infra/doc.go
+++ b/internal/infra/doc.go
@@ -1,4 +1,3 @@
-// Package infra is the interface to what the platform gives: its
-// append-only log, its VM list and its weight store. Each is a small interface
-// with one adapter for HTTP.
+// Package infra has clients of the platform's services: the append-only log and
+// the VM list. Each is a small interface with one implementation over HTTP.
 package infra
--- a/internal/infra/httplog.go
+++ b/internal/infra/httplog.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds on what is read from the platform, in bytes.
+// Maximum sizes of response bodies that are read, in bytes.
 const (
 	maxErrorBody = 4 << 10
 	maxPageBody  = 64 << 20
@@ -22,15 +22,15 @@
 
 var _ Log = (*HTTPLog)(nil)
 
-// HTTPLog is a stream of the log service, reached over HTTP.
+// HTTPLog implements Log for one stream of the log service over HTTP.
 type HTTPLog struct {
 	client *http.Client
 	base   string
 	wait   time.Duration
 }
 
-// NewHTTPLog returns the stream named stream of the service at base. A read
-// that finds nothing waits up to wait at the service.
+// NewHTTPLog returns a client of a stream of the log service at the base URL.
+// A read at the end of the stream waits at the service, up to wait, for an entry.
 func NewHTTPLog(client *http.Client, base, stream string, wait time.Duration) *HTTPLog {
 	return &HTTPLog{
 		client: client,
@@ -73,7 +73,7 @@
 	return page, nil
 }
 
-// StatusError says that the platform answered with an unexpected status.
+// StatusError is a response with another status than 200. Body is truncated to 4 KB.
 type StatusError struct {
 	Status int
 	Body   string
@@ -84,6 +84,7 @@
 	return fmt.Sprintf("status %d: %s", e.Status, e.Body)
 }
 
+// newStatusError returns the error for a response, and reads its body.
 func newStatusError(response *http.Response) *StatusError {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	return &StatusError{
@@ -92,6 +93,7 @@
 	}
 }
 
+// getJSON decodes the JSON body of a GET request into value, and returns a *StatusError for another status than 200.
 func getJSON(ctx context.Context, client *http.Client, address string, value any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, http.NoBody)
 	if err != nil {
@@ -108,8 +110,8 @@
 	return errors.WithStack(json.NewDecoder(io.LimitReader(response.Body, maxPageBody)).Decode(value))
 }
 
-// closeBody drains a little of the body so that the connection can be used
-// again, and closes it.
+// closeBody reads the rest of a short body, so that the connection can be
+// reused, and closes it.
 func closeBody(response *http.Response) {
 	_, _ = io.CopyN(io.Discard, response.Body, maxErrorBody)
 	_ = response.Body.Close()
--- a/internal/infra/log.go
+++ b/internal/infra/log.go
@@ -8,11 +8,12 @@
 // Log is one stream of the platform's append-only log service.
 type Log interface {
 	// Append adds an entry at the end. After an error the entry may still be
-	// in the log, now or later; only reading tells.
+	// appended, immediately or later; only reading the log shows whether it was.
 	Append(ctx context.Context, data []byte) error
 
-	// Read returns entries from offset from on, in order. It waits a while
-	// for one if there is none yet; an empty page is no error.
+	// Read returns entries in order, starting at offset from. If there are none
+	// yet, it waits for one for a limited time, and then returns an empty page. It
+	// returns an *ExpiredError if the log has already removed the offset.
 	Read(ctx context.Context, from uint64) (Page, error)
 }
 
@@ -22,16 +23,16 @@
 	Data   []byte `json:"data"`
 }
 
-// Page is a run of consecutive entries.
+// Page is a number of consecutive entries, and the offsets between which the log has entries.
 type Page struct {
 	Entries []Entry `json:"entries"`
-	// First is the oldest offset that the log still holds.
+	// First is the oldest offset that is still in the log.
 	First uint64 `json:"first"`
-	// Next is the offset that the next appended entry will get.
+	// Next is the offset of the entry that is appended next.
 	Next uint64 `json:"next"`
 }
 
-// ExpiredError says that entries were asked for that the log no longer holds.
+// ExpiredError is returned if the requested offset is no longer in the log. First is the oldest one that is.
 type ExpiredError struct {
 	Wanted uint64
 	First  uint64
@@ -39,5 +40,5 @@
 
 // Error implements error.
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("log: offset %d has expired, the oldest held is %d", e.Wanted, e.First)
+	return fmt.Sprintf("log: offset %d has expired; the oldest offset is %d", e.Wanted, e.First)
 }
--- a/internal/infra/vmlist.go
+++ b/internal/infra/vmlist.go
@@ -7,43 +7,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kinds of VM in the VM list.
+// Kinds of VM: those of this system, those with model engines, and those with other services.
 const (
 	KindSystem  = "system"
 	KindEngine  = "engine"
 	KindService = "service"
 )
 
-// VMList is the platform's list of live and leaving VMs. It lags.
+// VMList is the platform's list of running and draining VMs. It is eventually consistent: VMs appear and disappear late.
 type VMList interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
-// VM is one line of the VM list.
+// VM is one entry of the VM list.
 type VM struct {
 	ID         string   `json:"id"`
 	Address    string   `json:"address"`
 	DataCentre string   `json:"data_centre"`
 	Kind       string   `json:"kind"`
 	Models     []string `json:"models,omitempty"`
-	Leaving    bool     `json:"leaving,omitempty"`
-	// ChecksFencing says that the VM refuses orders with an old token.
+	// Leaving is set if the VM drains before a planned shutdown.
+	Leaving bool `json:"leaving,omitempty"`
+	// ChecksFencing is set if the VM rejects commands with an outdated fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// MemoryTokens is how many tokens of KV cache an engine holds.
+	// MemoryTokens is the capacity of an engine's KV cache, in tokens.
 	MemoryTokens uint64 `json:"memory_tokens,omitempty"`
-	// KeeperAddress is where the keeper of a system VM listens, over UDP.
+	// KeeperAddress is the UDP address of the keeper process of a system VM.
 	KeeperAddress string `json:"keeper_address,omitempty"`
 }
 
 var _ VMList = (*HTTPVMList)(nil)
 
-// HTTPVMList is the VM list, reached over HTTP.
+// HTTPVMList implements VMList over HTTP.
 type HTTPVMList struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTPVMList returns the VM list of the platform at base.
+// NewHTTPVMList returns a client of the VM list at the base URL of the platform.
 func NewHTTPVMList(client *http.Client, base string) *HTTPVMList {
 	return &HTTPVMList{client: client, base: base}
 }
