--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the YAML settings of the programs. It reports every
-// error of a file at once, each named by its path.
+// Package settings loads and validates the YAML settings files of the programs.
+// It reports all errors of a file at once, each with the path of the setting.
 package settings
 
 import (
@@ -19,17 +19,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// wholeFile is the path of a problem that belongs to no one setting.
+// wholeFile is the Path of problems that can't be attributed to a single setting.
 const wholeFile = "(file)"
 
-// Problem is one thing that is wrong with a file of settings.
+// Problem is one error in a settings file.
 type Problem struct {
-	// Path names the setting, such as limits.max_body_bytes.
+	// Path is the path of the setting, such as limits.max_body_bytes.
 	Path    string
 	Message string
 }
 
-// FileError lists all problems of a file.
+// FileError is returned for an invalid settings file, with all its problems.
 type FileError struct {
 	File     string
 	Problems []Problem
@@ -45,9 +45,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads the file over defaults and checks the result.
+// Load decodes the file into a copy of defaults, and validates the result. Settings that are missing in the file keep
+// their defaults. Unknown settings are errors. It returns a *FileError if the file is invalid.
 func Load[T any](file string, defaults T) (T, error) {
-	data, err := os.ReadFile(file) //nolint:gosec // the operator names it
+	data, err := os.ReadFile(file) //nolint:gosec // the path comes from the operator
 	if err != nil {
 		return defaults, errors.Wrap(err, "settings")
 	}
@@ -90,8 +91,8 @@
 	return problems
 }
 
-// newTypeProblem replaces the line that the YAML library names by the path of
-// the setting there.
+// newTypeProblem converts an error message of the YAML library, which has the
+// line but not the path of the setting.
 func newTypeProblem(root *yaml.Node, message string) Problem {
 	parts := regexp.MustCompile(`^line (\d+): (.*)$`).FindStringSubmatch(message)
 	if parts == nil {
@@ -104,6 +105,7 @@
 	return Problem{Path: pathAt(root, line, nil), Message: message}
 }
 
+// pathAt returns the path of the innermost setting that starts at or before line. The argument path is that of node.
 func pathAt(node *yaml.Node, line int, path []string) string {
 	switch node.Kind {
 	case yaml.DocumentNode:
@@ -124,6 +126,7 @@
 	return strings.Join(path, ".")
 }
 
+// newValidate returns a validator that names fields by their YAML keys.
 func newValidate() *validator.Validate {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -138,6 +141,7 @@
 	return Problem{Path: path, Message: describe(field)}
 }
 
+// describe returns the message for a field that failed validation.
 func describe(field validator.FieldError) string {
 	value := field.Value()
 	switch field.Tag() {
@@ -158,19 +162,20 @@
 	}
 }
 
-// fileName returns the name in a file of a field in the code: PackSlots is
-// pack_slots.
+// settingKey returns the YAML key of a Go field, such as pack_slots for
+// PackSlots.
 func fileName(field string) string {
-	name := &strings.Builder{}
+	key := &strings.Builder{}
 	for i, letter := range field {
 		if unicode.IsUpper(letter) && i > 0 {
-			name.WriteByte('_')
+			key.WriteByte('_')
 		}
-		name.WriteRune(unicode.ToLower(letter))
+		key.WriteRune(unicode.ToLower(letter))
 	}
-	return name.String()
+	return key.String()
 }
 
+// lengthUnit returns what a minimum or maximum of the value counts, with a leading space. It is empty for numbers.
 func unit(value any) string {
 	switch value.(type) {
 	case time.Duration, float64:
