--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,4 +1,4 @@
-// Package logging writes log lines without ever holding up who logs.
+// Package logging provides a writer for log lines that never blocks the caller.
 package logging
 
 import (
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Writer hands lines to a slower writer. When its queue is full, lines are left
-// out and counted.
+// Writer queues lines for a slower writer. When the queue is full, it drops and
+// counts lines. Its methods are safe for concurrent use, except Write after Close.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -18,14 +18,15 @@
 
 var _ io.Writer = (*Writer)(nil)
 
-// New returns a writer with a queue of that many lines in front of target.
+// New returns a writer that copies lines to target in the background, with a queue of the given number of lines. It
+// must be closed.
 func New(target io.Writer, queue int) *Writer {
 	writer := &Writer{lines: make(chan []byte, queue), done: make(chan struct{})}
 	go writer.run(target)
 	return writer
 }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write implements io.Writer. It never blocks and never returns an error.
 func (writer *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -36,12 +37,12 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out so far.
+// Dropped returns the number of lines dropped so far.
 func (writer *Writer) Dropped() int64 {
 	return writer.dropped.Load()
 }
 
-// Close writes what is queued. Nothing may be written afterwards.
+// Close blocks until all queued lines are written. Write panics afterwards.
 func (writer *Writer) Close() {
 	writer.stop.Do(func() { close(writer.lines) })
 	<-writer.done
@@ -50,6 +51,6 @@
 func (writer *Writer) run(target io.Writer) {
 	defer close(writer.done)
 	for line := range writer.lines {
-		_, _ = target.Write(line) // there is nowhere to tell of it
+		_, _ = target.Write(line) // a failure to write the log can't be logged
 	}
 }
