--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -1,4 +1,4 @@
-// Package logread reads the logs of VMs: lines of JSON as log/slog writes them.
+// Package logread parses the logs of VMs, which are JSON lines of log/slog.
 package logread
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Keys of a log line that have a field of their own.
+// Keys of a log line that are decoded into fields of Line, or dropped (the level).
 const (
 	keyTime    = "time"
 	keyLevel   = "level"
@@ -22,46 +22,46 @@
 	keyRequest = "request_id"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLineBytes is the maximum length of a log line. Longer lines are an error.
 const maxLine = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
-	// At is zero when the line tells no time.
+	// Timestamp is zero if the line has none, or a malformed one.
 	At      time.Time
 	VM      string
 	Message string
-	// Request is the ID of the request that the line is about, or empty.
+	// Request is the ID of the line's request, or empty if the line does not belong to one.
 	Request string
-	// Rest has the other fields.
+	// Fields has the values of all other keys, as encoding/json decodes them.
 	Rest map[string]any
 }
 
-// Text returns a field that is a text, or nothing.
+// String returns the value of a string field, or an empty string if it is missing or of another type.
 func (line Line) Text(key string) string {
 	value, _ := line.Rest[key].(string)
 	return value
 }
 
-// Flag returns a field that is true or false, or false.
+// Bool returns the value of a boolean field, or false if it is missing or of another type.
 func (line Line) Flag(key string) bool {
 	value, _ := line.Rest[key].(bool)
 	return value
 }
 
-// Count returns a field that is a whole number, or zero.
+// Int returns the value of a numeric field as an integer, or zero if it is missing or of another type.
 func (line Line) Count(key string) int {
 	value, _ := line.Rest[key].(float64)
 	return int(value)
 }
 
-// Duration returns a field that is a time in nanoseconds, or zero.
+// Duration returns the value of a numeric field, in nanoseconds, or zero if it is missing or of another type.
 func (line Line) Duration(key string) time.Duration {
 	value, _ := line.Rest[key].(float64)
 	return time.Duration(value)
 }
 
-// Texts returns a field that is a list of texts, or none.
+// Strings returns the strings of a list field. It is empty if the field is missing or of another type.
 func (line Line) Texts(key string) []string {
 	values, _ := line.Rest[key].([]any)
 	texts := make([]string, 0, len(values))
@@ -73,28 +73,28 @@
 	return texts
 }
 
-// Files reads the files, or input when none is named.
+// ReadFiles parses the lines of all files, or of input if names is empty.
 func Files(names []string, input io.Reader) ([]Line, error) {
 	if len(names) == 0 {
 		return Read(input)
 	}
 	var lines []Line
 	for _, name := range names {
-		data, err := os.ReadFile(name) //nolint:gosec // the operator names it
+		data, err := os.ReadFile(name) //nolint:gosec // the path comes from the operator
 		if err != nil {
 			return nil, errors.Wrap(err, "logread")
 		}
-		read, err := Read(bytes.NewReader(data))
+		parsed, err := Read(bytes.NewReader(data))
 		if err != nil {
 			return nil, errors.Wrapf(err, "%s", name)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, parsed...)
 	}
 	return lines, nil
 }
 
-// Read reads lines of JSON. What stands before the brace is left out, and so are
-// lines without one, since collectors of logs add their own.
+// Read parses JSON lines. Log collectors add prefixes and lines of their own, so
+// it ignores the text before the first brace, and lines that are not JSON.
 func Read(input io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(input)
@@ -106,7 +106,7 @@
 		}
 		fields := make(map[string]any)
 		if json.Unmarshal([]byte("{"+text), &fields) != nil {
-			continue // not a line of ours
+			continue // not a line of log/slog
 		}
 		lines = append(lines, newLine(fields))
 	}
@@ -115,7 +115,7 @@
 
 func newLine(fields map[string]any) Line {
 	line := Line{Rest: fields}
-	line.At, _ = time.Parse(time.RFC3339Nano, line.Text(keyTime)) // zero sorts first
+	line.At, _ = time.Parse(time.RFC3339Nano, line.Text(keyTime)) // lines without a valid time sort first
 	line.VM = line.Text(keyVM)
 	line.Message = line.Text(keyMessage)
 	line.Request = line.Text(keyRequest)
