--- a/internal/losses/bound.go
+++ b/internal/losses/bound.go
@@ -14,41 +14,46 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// slotTime is the step in which the bound is reckoned. Shorter ones change nothing
-// that is read for 100 ms and more.
+// boundInterval is the length of the intervals into which time is divided for the
+// bound. Shorter ones do not change the result for prompts with a prefill time of
+// 100 ms or more.
 const slotTime = 50 * time.Millisecond
 
-// Fleet is the engines for which a bound is reckoned.
+// Fleet describes the model engines for which a bound is computed. All have the same performance.
 type Fleet struct {
 	Servers int
 	Engine  catalog.Engine
-	// LongFrom is the objective from which on a stream's prompt counts as long.
+	// MinLongObjective is the minimum objective of a stream whose prompt counts as long.
 	LongFrom time.Duration
 }
 
-// job is the reading of one long prompt.
+// job is the prefill of one long prompt.
 type job struct {
 	request *Request
-	// work is its reading in all, and due the last slot in which it is in time.
+	// prefill is the prefill time on a single engine. The prefill can be served in the
+	// intervals from start to deadline, inclusive.
 	work      time.Duration
 	from, due int
 }
 
-// Bound is what a planner that knew all arrivals could read in time.
+// Bound compares what was served with an estimate of what an ideal planner, with all arrivals known in advance, could
+// have served in time.
 type Bound struct {
-	// Asked, Served and Reached count long prompts: all, those in time in the logs, and
-	// those that the planner reads in time. Weight has what they are worth.
+	// Requested, Served and Achievable count long prompts: all, those served in time
+	// according to the logs, and those with a prefill in time by the ideal planner. The
+	// weights are the sums of placement.Weight of the same prompts.
 	Asked, Served, Reached                   int
 	AskedWeight, ServedWeight, ReachedWeight float64
 }
 
-// Bound reckons what a planner could read in time that knew all arrivals, shared each
-// prompt evenly among all servers at any moment, and lost nothing by passes, pauses,
-// faults or what VMs do not know. Servers are taken off for the short prompts that were in
-// progress, a slot each. Prompts are taken by what they are worth for their reading,
-// each if all that were taken stay in time, so the true best may lie a little higher.
+// Bound estimates the work of an ideal planner, which has all arrivals in advance, can
+// split each prefill evenly among all servers at any moment, and has no losses from decode
+// passes, inter-token latency objectives, faults or delayed information. Each short prompt in flight
+// reduces the capacity by one slot. The planner is greedy: it takes prompts in the order of
+// weight per prefill time, and accepts each one with which all accepted ones still meet
+// their deadlines. The optimum may thus be slightly higher.
 func (report *Report) Bound(fleet Fleet) Bound {
-	free := report.freeReading(fleet)
+	freeTime := report.freeReading(fleet)
 	var bound Bound
 	var jobs []job
 	for _, request := range report.requests {
@@ -62,80 +67,81 @@
 			bound.Served++
 			bound.ServedWeight += weight
 		}
-		from := report.slot(request.Arrived)
+		start := report.slot(request.Arrived)
 		jobs = append(jobs, job{
 			request: request, work: fleet.Engine.ReadTime(request.Tokens),
-			from: from, due: report.slot(request.Arrived.Add(request.Objective)),
+			from: start, due: report.slot(request.Arrived.Add(request.Objective)),
 		})
 	}
 	slices.SortFunc(jobs, func(a, b job) int {
 		return cmp.Compare(placement.Weight(b.request.Tokens)/b.work.Seconds(), placement.Weight(a.request.Tokens)/a.work.Seconds())
 	})
-	var taken []job
-	for _, next := range jobs {
-		if !inTime(append(slices.Clone(taken), next), free) {
+	var accepted []job
+	for _, candidate := range jobs {
+		if !inTime(append(slices.Clone(accepted), candidate), freeTime) {
 			continue
 		}
-		taken = append(taken, next)
+		accepted = append(accepted, candidate)
 		bound.Reached++
-		bound.ReachedWeight += placement.Weight(next.request.Tokens)
+		bound.ReachedWeight += placement.Weight(candidate.request.Tokens)
 	}
 	return bound
 }
 
-// long reports whether the bound counts a request.
+// isLongPrompt reports whether the bound includes a request.
 func long(request *Request, fleet Fleet) bool {
 	return request.Kind == catalog.KindStream && request.Objective >= fleet.LongFrom && request.Cause != CauseRejected
 }
 
+// interval returns the index of the interval of a time.
 func (report *Report) slot(at time.Time) int {
 	return int(at.Sub(report.start) / slotTime)
 }
 
-// freeReading returns the reading that servers without short prompts can do in each
-// slot.
+// freePrefillTime returns the prefill time that is available in each interval, summed
+// over all servers, without the share of the short prompts in flight.
 func (report *Report) freeReading(fleet Fleet) []time.Duration {
-	last := 0
+	lastInterval := 0
 	for _, request := range report.requests {
-		last = max(last, report.slot(request.Arrived.Add(max(request.Took, request.Objective))))
+		lastInterval = max(lastInterval, report.slot(request.Arrived.Add(max(request.Took, request.Objective))))
 	}
-	busy := make([]int, last+1)
+	inFlight := make([]int, lastInterval+1)
 	for _, request := range report.requests {
 		if request.Kind != catalog.KindStream || long(request, fleet) {
 			continue
 		}
-		for slot := report.slot(request.Arrived); slot <= report.slot(request.Arrived.Add(request.Took)); slot++ {
-			busy[slot]++
+		for interval := report.slot(request.Arrived); interval <= report.slot(request.Arrived.Add(request.Took)); interval++ {
+			inFlight[interval]++
 		}
 	}
-	free := make([]time.Duration, len(busy))
-	for slot, count := range busy {
-		servers := float64(fleet.Servers) - float64(count)/float64(fleet.Engine.Slots)
-		free[slot] = time.Duration(max(0, servers) * float64(slotTime))
+	freeTime := make([]time.Duration, len(inFlight))
+	for interval, short := range inFlight {
+		servers := float64(fleet.Servers) - float64(short)/float64(fleet.Engine.Slots)
+		freeTime[interval] = time.Duration(max(0, servers) * float64(slotTime))
 	}
-	return free
+	return freeTime
 }
 
-// inTime reports whether all jobs can be in time when the one that is due first is read
-// first.
-func inTime(jobs []job, free []time.Duration) bool {
+// meetDeadlines reports whether all jobs meet their deadlines if they are served with the
+// earliest deadline first. It sorts jobs.
+func inTime(jobs []job, freeTime []time.Duration) bool {
 	slices.SortFunc(jobs, func(a, b job) int { return cmp.Compare(a.due, b.due) })
-	left := slices.Clone(free)
+	remaining := slices.Clone(freeTime)
 	for _, job := range jobs {
-		work := job.work
-		for slot := job.from; slot <= job.due && work > 0; slot++ {
-			read := min(work, left[slot])
-			work -= read
-			left[slot] -= read
+		prefill := job.work
+		for interval := job.from; interval <= job.due && prefill > 0; interval++ {
+			used := min(prefill, remaining[interval])
+			prefill -= used
+			remaining[interval] -= used
 		}
-		if work > 0 {
+		if prefill > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Write prints the bound beside what was served.
+// Write prints the bound and what was served, as a table. The column worth has the sums of weights.
 func (bound Bound) Write(output io.Writer) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "long prompts\tcount\tworth\t")
--- a/internal/losses/cause.go
+++ b/internal/losses/cause.go
@@ -1,47 +1,47 @@
 package losses
 
-// Cause says why a request was not served in time, or that it was.
+// Cause is why a request was not served in time, or CauseInTime.
 type Cause string
 
-// Causes, in the order in which tables show them.
+// Causes, in the order of tables.
 const (
-	// CauseNone: served in time.
+	// CauseInTime: served within the objective.
 	CauseNone Cause = "in time"
-	// CauseWaited: late, since it waited for a place until it could not be in time.
+	// CauseQueued: late, since it was queued for too long to meet the objective.
 	CauseWaited Cause = "late: waited for a place"
-	// CauseNarrow: late as predicted, since too few servers read it.
+	// CauseTooFewServers: late as predicted, since the prefill was split among too few servers.
 	CauseNarrow Cause = "late: read by too few"
-	// CauseRead: late, since it was read for longer than predicted.
+	// CauseSlowPrefill: late, since the prefill took longer than predicted.
 	CauseRead Cause = "late: read longer"
-	// CauseAgain: late, since an attempt failed and it was sent again.
+	// CauseRetried: late, since an attempt failed and the request was retried.
 	CauseAgain Cause = "late: sent again"
-	// CauseContested: late, since another VM took its servers.
+	// CauseContested: late, since another VM assigned requests to the same servers.
 	CauseContested Cause = "late: contested"
-	// CausePause: in time at first, with a pause that was too long.
+	// CauseInterTokenLatency: first event in time, but the inter-token latency exceeded its objective.
 	CausePause Cause = "late: pause"
-	// CauseSlow: a whole answer of a plain service that came late.
+	// CauseSlowServer: a complete but late response of a service that is not a model engine.
 	CauseSlow Cause = "late: server slow"
-	// CauseHeld: refused after it waited for a place.
+	// CauseNoCapacity: rejected after it was queued.
 	CauseHeld Cause = "refused: no place"
-	// CauseBudget: refused, since the retry budget was spent.
+	// CauseRetryBudget: rejected, since the retry budget was exhausted.
 	CauseBudget Cause = "refused: retry budget"
-	// CauseUnknown: refused, since no configuration was known, or too old a one.
+	// CauseNoConfiguration: rejected, since the VM had no configuration or a stale one.
 	CauseUnknown Cause = "refused: store away"
-	// CauseStopping: refused or cut, since the VM stops.
+	// CauseVMStopping: rejected or truncated, since the VM was stopping.
 	CauseStopping Cause = "cut: VM stops"
-	// CauseKilled: without an end on the log, so its VM was killed.
+	// CauseVMKilled: the log has no end of the request, so its VM was killed.
 	CauseKilled Cause = "cut: VM killed"
-	// CauseLeft: its caller left before the answer was whole.
+	// CauseCallerGone: the caller disconnected before the response was complete.
 	CauseLeft Cause = "caller left"
-	// CauseTime: without an answer when its time was over.
+	// CauseDeadlineExceeded: no response before the caller's deadline.
 	CauseTime Cause = "failed: time over"
-	// CauseServer: failed by servers.
+	// CauseServerFailed: failed by a server.
 	CauseServer Cause = "failed: servers"
-	// CauseRejected: not allowed by the configuration, or not proper.
+	// CauseInvalidRequest: malformed, or not allowed by the configuration.
 	CauseRejected Cause = "rejected"
 )
 
-// Causes returns all causes in the order in which tables show them.
+// Causes returns all causes in the order of tables.
 func Causes() []Cause {
 	return []Cause{
 		CauseNone, CauseWaited, CauseNarrow, CauseRead, CauseAgain, CauseContested, CausePause, CauseSlow,
@@ -50,8 +50,8 @@
 	}
 }
 
-// lost reports whether requests of the cause would have been served in time by
-// a system that does better.
+// lost reports whether a better system could have served requests with the
+// cause in time.
 func (cause Cause) lost() bool {
 	return cause != CauseNone && cause != CauseRejected
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses tells from the logs of all VMs which requests were not served
-// in time, when, and why.
+// Package losses analyses the logs of all VMs: it reports which requests were not
+// served in time, when, and why.
 package losses
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/mastwinch/mastwinch/internal/logread"
 )
 
-// Group is a kind of request: those of routes with the same kind and objective.
+// Group has the requests of all routes with the same kind and objective.
 type Group struct {
 	Kind      catalog.Kind
 	Objective time.Duration
 }
 
-// String names the group for tables.
+// String returns the group's name in tables.
 func (group Group) String() string {
 	return fmt.Sprintf("%s %v", group.Kind, group.Objective)
 }
@@ -36,29 +36,28 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Objective, b.Objective))
 }
 
-// Report is what became of all requests.
+// Report has all requests and their outcomes.
 type Report struct {
-	// requests are in the order of arrival, and start is when the first one arrived.
+	// requests are in the order of arrival, and not empty. The first one arrived at start.
 	requests []*Request
 	start    time.Time
 }
 
-// New returns the report on the requests that lines tell of.
+// New returns the report on the requests in the lines. It is an error if there are none.
 func New(lines []logread.Line) (*Report, error) {
 	requests := collect(lines)
 	if len(requests) == 0 {
-		return nil, errors.New("losses: no line tells of a request")
+		return nil, errors.New("losses: no line belongs to a request")
 	}
 	return &Report{requests: requests, start: requests[0].Arrived}, nil
 }
 
-// second returns in which second a request arrived.
+// second returns the second, counted from the first arrival, in which a request arrived.
 func (report *Report) second(request *Request) int {
 	return int(request.Arrived.Sub(report.start) / time.Second)
 }
 
-// groups returns the groups in the order in which tables show them, and the
-// requests of each.
+// groups returns the groups in the order of tables, and the requests of each.
 func (report *Report) groups() ([]Group, map[Group][]*Request) {
 	byGroup := make(map[Group][]*Request)
 	for _, request := range report.requests {
@@ -76,7 +75,7 @@
 	return counts
 }
 
-// Write prints what became of requests by group, and what was lost by second.
+// Write prints two tables: all requests by group and cause, and those not served in time by second, group and cause.
 func (report *Report) Write(output io.Writer) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	groups, byGroup := report.groups()
@@ -95,12 +94,12 @@
 		if counts[cause] == 0 {
 			continue
 		}
-		those := slices.DeleteFunc(slices.Clone(requests), func(request *Request) bool { return request.Cause != cause })
-		fmt.Fprintf(table, "%v\t%s\t%d\t%.3f\t%v\t%.1f\t%.0f\t\n", group, cause, len(those),
-			float64(len(those))/float64(len(requests)),
-			time.Duration(mean(those, func(request *Request) float64 { return float64(request.Excess) })).Round(time.Millisecond),
-			mean(those, func(request *Request) float64 { return float64(request.Beside) }),
-			mean(those, func(request *Request) float64 { return float64(request.Tokens) }))
+		matching := slices.DeleteFunc(slices.Clone(requests), func(request *Request) bool { return request.Cause != cause })
+		fmt.Fprintf(table, "%v\t%s\t%d\t%.3f\t%v\t%.1f\t%.0f\t\n", group, cause, len(matching),
+			float64(len(matching))/float64(len(requests)),
+			time.Duration(mean(matching, func(request *Request) float64 { return float64(request.Excess) })).Round(time.Millisecond),
+			mean(matching, func(request *Request) float64 { return float64(request.Beside) }),
+			mean(matching, func(request *Request) float64 { return float64(request.Tokens) }))
 	}
 }
 
@@ -112,30 +111,30 @@
 	return sum / float64(len(requests))
 }
 
-// lossKey is where a lost request counts.
+// lossKey identifies a row of the table of losses by second.
 type lossKey struct {
 	second int
 	group  Group
 	cause  Cause
 }
 
-// writeSeconds prints for each second the causes of what was lost in each group.
+// writeSeconds prints the number of losses by second, group and cause. Rows with none are omitted.
 func (report *Report) writeSeconds(table io.Writer, groups []Group) {
 	lost := make(map[lossKey]int)
-	last := 0
+	lastSecond := 0
 	for _, request := range report.requests {
 		if !request.Cause.lost() {
 			continue
 		}
-		last = report.second(request)
-		lost[lossKey{second: last, group: groupOf(request), cause: request.Cause}]++
+		lastSecond = report.second(request)
+		lost[lossKey{second: lastSecond, group: groupOf(request), cause: request.Cause}]++
 	}
 	fmt.Fprintln(table, "second\trequests\tcause\tcount\t")
-	for second := range last + 1 {
+	for second := range lastSecond + 1 {
 		for _, group := range groups {
 			for _, cause := range Causes() {
-				if counted := lost[lossKey{second: second, group: group, cause: cause}]; counted > 0 {
-					fmt.Fprintf(table, "%d\t%v\t%s\t%d\t\n", second, group, cause, counted)
+				if losses := lost[lossKey{second: second, group: group, cause: cause}]; losses > 0 {
+					fmt.Fprintf(table, "%d\t%v\t%s\t%d\t\n", second, group, cause, losses)
 				}
 			}
 		}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -15,13 +15,15 @@
 	"github.com/mastwinch/mastwinch/internal/losses"
 )
 
-// stream is the last line of a stream with an objective of 300 ms and pauses of
-// 250 ms, with other fields put in.
+// stream returns the last log line of a stream with an objective of 300 ms and an
+// inter-token latency objective of 250 ms, with additional fields.
 func stream(fields string) string {
 	return `{"time":"2026-01-01T10:00:05Z","msg":"ended","vm":"a","request_id":"r1","kind":"stream","status":200,` +
 		`"objective":300000000,"gap":250000000,"took":1000000000,"sends":1,` + fields + `}`
 }
 
+// plain returns the last log line of a request that is not a stream, with an
+// objective of 150 ms and additional fields.
 func plain(fields string) string {
 	return `{"time":"2026-01-01T10:00:05Z","msg":"ended","vm":"a","request_id":"r1","kind":"once",` +
 		`"objective":150000000,` + fields + `}`
@@ -32,33 +34,33 @@
 		line  string
 		cause losses.Cause
 	}{
-		"in time":               {stream(`"first":200000000,"predicted":100000000,"pause":100000000`), losses.CauseNone},
-		"a pause too long":      {stream(`"first":200000000,"predicted":100000000,"pause":260000000`), losses.CausePause},
-		"read longer":           {stream(`"first":400000000,"predicted":290000000`), losses.CauseRead},
-		"too few servers":       {stream(`"first":500000000,"predicted":480000000,"waited":10000000`), losses.CauseNarrow},
-		"waited":                {stream(`"first":500000000,"predicted":480000000,"waited":300000000`), losses.CauseWaited},
-		"contested":             {stream(`"first":500000000,"predicted":480000000,"waited":300000000,"taken_back":1`), losses.CauseContested},
-		"sent again":            {stream(`"first":500000000,"predicted":480000000,"sends":2`), losses.CauseAgain},
-		"cut in the answer":     {stream(`"broken":true,"reason":"server_failed"`), losses.CauseServer},
-		"caller left":           {stream(`"broken":true,"reason":"caller_gone"`), losses.CauseLeft},
-		"held":                  {stream(`"status":503,"reason":"servers_busy"`), losses.CauseHeld},
-		"no budget":             {stream(`"status":503,"reason":"servers_refused"`), losses.CauseBudget},
-		"no configuration":      {stream(`"status":503,"reason":"no_configuration"`), losses.CauseUnknown},
-		"stopping":              {stream(`"status":503,"reason":"stopping"`), losses.CauseStopping},
-		"time over":             {stream(`"status":504,"reason":"time_over"`), losses.CauseTime},
-		"wrong key":             {stream(`"status":401,"reason":"key_unknown"`), losses.CauseRejected},
-		"plain in time":         {plain(`"status":200,"took":150000000,"sends":1`), losses.CauseNone},
-		"plain, slow":           {plain(`"status":200,"took":150000001,"sends":1`), losses.CauseSlow},
-		"plain, sent again":     {plain(`"status":200,"took":150000001,"sends":2`), losses.CauseAgain},
-		"no last line: killed":  {`{"time":"2026-01-01T10:00:05Z","msg":"placed","vm":"a","request_id":"r1","server":"s"}`, losses.CauseKilled},
-		"a time that is broken": {strings.Replace(stream(`"first":200000000`), "2026-01-01T10:00:05Z", "soon", 1), ""},
+		"in time":             {stream(`"first":200000000,"predicted":100000000,"pause":100000000`), losses.CauseNone},
+		"inter-token latency": {stream(`"first":200000000,"predicted":100000000,"pause":260000000`), losses.CausePause},
+		"slow prefill":        {stream(`"first":400000000,"predicted":290000000`), losses.CauseRead},
+		"too few servers":     {stream(`"first":500000000,"predicted":480000000,"waited":10000000`), losses.CauseNarrow},
+		"queued":              {stream(`"first":500000000,"predicted":480000000,"waited":300000000`), losses.CauseWaited},
+		"contested":           {stream(`"first":500000000,"predicted":480000000,"waited":300000000,"taken_back":1`), losses.CauseContested},
+		"retried":             {stream(`"first":500000000,"predicted":480000000,"sends":2`), losses.CauseAgain},
+		"server failed":       {stream(`"broken":true,"reason":"server_failed"`), losses.CauseServer},
+		"caller gone":         {stream(`"broken":true,"reason":"caller_gone"`), losses.CauseLeft},
+		"no capacity":         {stream(`"status":503,"reason":"servers_busy"`), losses.CauseHeld},
+		"retry budget":        {stream(`"status":503,"reason":"servers_refused"`), losses.CauseBudget},
+		"no configuration":    {stream(`"status":503,"reason":"no_configuration"`), losses.CauseUnknown},
+		"stopping":            {stream(`"status":503,"reason":"stopping"`), losses.CauseStopping},
+		"deadline exceeded":   {stream(`"status":504,"reason":"time_over"`), losses.CauseTime},
+		"wrong key":           {stream(`"status":401,"reason":"key_unknown"`), losses.CauseRejected},
+		"plain in time":       {plain(`"status":200,"took":150000000,"sends":1`), losses.CauseNone},
+		"plain, slow server":  {plain(`"status":200,"took":150000001,"sends":1`), losses.CauseSlow},
+		"plain, retried":      {plain(`"status":200,"took":150000001,"sends":2`), losses.CauseAgain},
+		"VM killed":           {`{"time":"2026-01-01T10:00:05Z","msg":"placed","vm":"a","request_id":"r1","server":"s"}`, losses.CauseKilled},
+		"malformed time":      {strings.Replace(stream(`"first":200000000`), "2026-01-01T10:00:05Z", "soon", 1), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			lines, err := logread.Read(strings.NewReader(test.line))
 			assert.NilError(t, err)
 			report, err := losses.New(lines)
 			if test.cause == "" {
-				assert.ErrorContains(t, err, "no line tells of a request")
+				assert.ErrorContains(t, err, "no line belongs to a request")
 				return
 			}
 			assert.NilError(t, err)
@@ -73,8 +75,8 @@
 	}
 }
 
-// Two prompts at one server, read at the same time, and one that was read after.
-func TestBeside(t *testing.T) {
+// TestConcurrentPrefills has two prompts with simultaneous prefills on one server, and a later one.
+func TestConcurrentPrefills(t *testing.T) {
 	text := &strings.Builder{}
 	for i, request := range []struct{ placed, first float64 }{{0, 1}, {0.5, 2}, {2.5, 3}} {
 		fmt.Fprintf(text, `{"time":"2026-01-01T10:00:%09.6fZ","msg":"placed","request_id":"r%d","server":"s%d","helpers":["s"]}`+"\n", request.placed, i, i)
@@ -86,7 +88,7 @@
 	assert.NilError(t, err)
 	table := &strings.Builder{}
 	assert.NilError(t, report.Write(table))
-	assert.Assert(t, strings.Contains(table.String(), "0.7"), "two of three had one beside them\n%s", table)
+	assert.Assert(t, strings.Contains(table.String(), "0.7"), "two of three have one concurrent prefill\n%s", table)
 }
 
 func TestPlot(t *testing.T) {
@@ -96,14 +98,14 @@
 	assert.NilError(t, err)
 	file := filepath.Join(t.TempDir(), "losses.svg")
 	assert.NilError(t, report.Plot(file))
-	picture, err := os.ReadFile(file)
+	chart, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(picture), "refused: no place"))
+	assert.Assert(t, strings.Contains(string(chart), "refused: no place"))
 	assert.ErrorContains(t, report.Plot(filepath.Join(t.TempDir(), "losses.none")), "plot")
 }
 
-// arrival is a stream that arrived a number of milliseconds after the start and took
-// 2 s.
+// arrival returns the last log line of a stream that arrived at the given number of
+// milliseconds and took 2 s.
 func arrival(id string, at, tokens int, objective string) string {
 	const took = 2000
 	return fmt.Sprintf(`{"time":"2026-01-01T10:00:%06.3fZ","msg":"ended","request_id":"%s","kind":"stream","status":200,`+
@@ -113,19 +115,19 @@
 
 func TestBound(t *testing.T) {
 	const second, short = "1000000000", "300000000"
-	// One engine that reads 100 k tokens in a second, pairs not counted.
+	// One engine with a prefill rate of 100 k tokens a second, whatever the prompt's length.
 	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, ReadPerSecond: 100_000}}
 	for name, test := range map[string]struct {
 		log     string
 		reached int
 	}{
-		"one fits":                 {log: arrival("a", 0, 100_000, second), reached: 1},
-		"one does not":             {log: arrival("a", 0, 110_000, second)},
-		"two share":                {log: arrival("a", 0, 50_000, second) + arrival("b", 0, 50_000, second), reached: 2},
-		"the smaller goes first":   {log: arrival("a", 0, 100_000, second) + arrival("b", 0, 30_000, second), reached: 1},
-		"a later one has its time": {log: arrival("a", 0, 100_000, second) + arrival("b", 1100, 90_000, second), reached: 2},
-		"short ones take slots":    {log: arrival("a", 0, 60_000, second) + arrival("b", 0, 100, short) + arrival("c", 0, 100, short)},
-		"and leave the others":     {log: arrival("a", 0, 60_000, second) + arrival("b", 0, 100, short), reached: 1},
+		"fits":                    {log: arrival("a", 0, 100_000, second), reached: 1},
+		"too long":                {log: arrival("a", 0, 110_000, second)},
+		"two fit together":        {log: arrival("a", 0, 50_000, second) + arrival("b", 0, 50_000, second), reached: 2},
+		"shorter one first":       {log: arrival("a", 0, 100_000, second) + arrival("b", 0, 30_000, second), reached: 1},
+		"later one fits":          {log: arrival("a", 0, 100_000, second) + arrival("b", 1100, 90_000, second), reached: 2},
+		"short ones occupy slots": {log: arrival("a", 0, 60_000, second) + arrival("b", 0, 100, short) + arrival("c", 0, 100, short)},
+		"short one leaves enough": {log: arrival("a", 0, 60_000, second) + arrival("b", 0, 100, short), reached: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			lines, err := logread.Read(strings.NewReader(test.log))
@@ -139,9 +141,9 @@
 	}
 }
 
-// TestBoundOfAnObjectiveOfMinutes has a prompt that may take longer than a minute after
-// the last arrival, and does not fit: the reckoning ran past its end.
-func TestBoundOfAnObjectiveOfMinutes(t *testing.T) {
+// TestBoundWithLongObjective guards against an index out of range: the prompt's deadline
+// is minutes after the last arrival, and its prefill does not fit before it.
+func TestBoundWithLongObjective(t *testing.T) {
 	lines, err := logread.Read(strings.NewReader(arrival("a", 0, 20_000_000, "120000000000")))
 	assert.NilError(t, err)
 	report, err := losses.New(lines)
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -9,26 +9,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 10 * vg.Inch
 	plotHeight = 5 * vg.Inch
 	barWidth   = vg.Inch / 8
 )
 
-// Plot writes a picture to a file whose ending names the format, such as .svg:
-// how many requests of each second were lost, by cause.
+// Plot writes a bar chart of the requests that were not served in time, by second
+// and cause. The extension of the file, such as .svg, selects the format.
 func (report *Report) Plot(file string) error {
-	picture := plot.New()
-	picture.Title.Text = "requests not served in time, by cause"
-	picture.X.Label.Text = "second of arrival"
-	picture.Y.Label.Text = "requests"
-	picture.Legend.Top = true
-	last := report.second(report.requests[len(report.requests)-1])
+	chart := plot.New()
+	chart.Title.Text = "requests not served in time, by cause"
+	chart.X.Label.Text = "second of arrival"
+	chart.Y.Label.Text = "requests"
+	chart.Legend.Top = true
+	lastSecond := report.second(report.requests[len(report.requests)-1])
 	hues := palette.Rainbow(len(Causes()), palette.Red, palette.Magenta, 0.8, 0.9, 1).Colors() //nolint:misspell // the library's name
-	var below *plotter.BarChart
+	var previous *plotter.BarChart
 	for i, cause := range Causes() {
-		values := make(plotter.Values, last+1)
+		values := make(plotter.Values, lastSecond+1)
 		for _, request := range report.requests {
 			if request.Cause == cause && cause.lost() {
 				values[report.second(request)]++
@@ -43,12 +43,12 @@
 		}
 		bars.Color = hues[i] //nolint:misspell // the library's name
 		bars.LineStyle.Width = 0
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
-		picture.Add(bars)
-		picture.Legend.Add(string(cause), bars)
+		previous = bars
+		chart.Add(bars)
+		chart.Legend.Add(string(cause), bars)
 	}
-	return errors.Wrap(picture.Save(plotWidth, plotHeight, file), "plot")
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, file), "plot")
 }
--- a/internal/losses/request.go
+++ b/internal/losses/request.go
@@ -11,41 +11,41 @@
 	"github.com/mastwinch/mastwinch/internal/logread"
 )
 
-// Messages of the lines that are read.
+// Messages of the log lines that are evaluated.
 const (
 	messagePlaced = "placed"
 	messageFirst  = "first event"
 	messageEnded  = "ended"
 )
 
-// Request is one request at one VM. A caller that comes back makes another one.
+// Request is one request at one VM. A caller's retry is another request.
 type Request struct {
 	ID string
-	// Arrived is when its VM took it, by that VM's clock.
+	// Arrived is when the VM received the request, by the VM's clock.
 	Arrived time.Time
 	Kind    catalog.Kind
-	// Objective is the time within which an answer is in time; zero when its route
-	// is not known.
+	// Objective is the time within which a response is in time. It is zero if the
+	// request's route is unknown.
 	Objective time.Duration
 	Tokens    int
 	Cause     Cause
-	// Took is how long it was with its VM; zero when the VM was killed.
+	// Elapsed is the time from arrival to the end; zero if the VM was killed.
 	Took time.Duration
-	// Excess is how much later than predicted its first event came.
+	// TTFTExcess is the measured minus the predicted time to first event.
 	Excess time.Duration
-	// Beside is how many other prompts were sent to its servers while it was read.
+	// ConcurrentPrefills is the number of other prompts on its servers during its prefill.
 	Beside int
 	route  string
-	// placed and first are when it was last placed and when its first event came;
-	// servers has those that read it.
+	// placedAt is the time of the last placement, and firstEventAt that of the first
+	// event. servers has all servers that took part in the prefill.
 	placed, first time.Time
 	servers       []string
 }
 
-// collect returns the requests that lines tell of, in the order of arrival.
+// collectRequests returns the requests in the lines, in the order of arrival.
 func collect(lines []logread.Line) []*Request {
 	byID := make(map[string]*Request)
-	routes := make(map[string]*Request)
+	lastOfRoute := make(map[string]*Request)
 	for _, line := range sorted(lines) {
 		if line.Request == "" || line.At.IsZero() {
 			continue
@@ -62,14 +62,15 @@
 			request.first = line.At
 		case messageEnded:
 			request.end(line)
-			routes[request.route] = request
+			lastOfRoute[request.route] = request
 		}
 	}
 	requests := make([]*Request, 0, len(byID))
 	for _, request := range byID {
-		// One whose VM was killed has no last line: others of its route tell its kind.
-		if alike := routes[request.route]; alike != nil && request.Cause == CauseKilled {
-			request.Kind, request.Objective = alike.Kind, alike.Objective
+		// If the VM was killed, there is no last line with the kind and the objective. They are the
+		// same for all requests of a route.
+		if ended := lastOfRoute[request.route]; ended != nil && request.Cause == CauseKilled {
+			request.Kind, request.Objective = ended.Kind, ended.Objective
 		}
 		requests = append(requests, request)
 	}
@@ -104,7 +105,7 @@
 	}
 }
 
-// causeOf tells why the request of a last line was not served in time.
+// causeOf returns the cause for the last line of a request.
 func causeOf(line logread.Line) Cause {
 	status := line.Count("status")
 	switch gateway.Reason(line.Text("reason")) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// plainCause judges an answer that is held whole.
+// bufferedCause returns the cause for a response that is not a stream, and is complete.
 func plainCause(line logread.Line) Cause {
 	switch {
 	case line.Duration("took") <= line.Duration("objective"):
@@ -147,7 +148,7 @@
 	}
 }
 
-// streamCause judges a whole stream.
+// streamCause returns the cause for a complete stream.
 func streamCause(line logread.Line) Cause {
 	objective, gap := line.Duration("objective"), line.Duration("gap")
 	waited, predicted := line.Duration("waited"), line.Duration("predicted")
@@ -169,8 +170,8 @@
 	}
 }
 
-// countBeside counts for each request the others that were sent to one of its
-// servers while it was read.
+// countConcurrentPrefills sets Request.ConcurrentPrefills of all requests: the
+// number of others on at least one of the same servers during the prefill.
 func countBeside(requests []*Request) {
 	byServer := make(map[string][]*Request)
 	for _, request := range requests {
@@ -179,14 +180,14 @@
 		}
 	}
 	for _, request := range requests {
-		beside := make(map[*Request]bool)
+		concurrent := make(map[*Request]bool)
 		for _, server := range request.servers {
 			for _, other := range byServer[server] {
 				if other != request && other.placed.Before(request.first) && other.first.After(request.placed) {
-					beside[other] = true
+					concurrent[other] = true
 				}
 			}
 		}
-		request.Beside = len(beside)
+		request.Beside = len(concurrent)
 	}
 }
