--- a/cmd/mastwinch/main.go
+++ b/cmd/mastwinch/main.go
@@ -1,4 +1,5 @@
-// Command mastwinch is described by its --help.
+// Command mastwinch is the command-line tool for operators.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-entry/main.go
+++ b/cmd/mw-entry/main.go
@@ -1,4 +1,5 @@
-// Command mw-entry is described by its --help.
+// Command mw-entry accepts callers' requests and tracks each one to its outcome.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-gateway/main.go
+++ b/cmd/mw-gateway/main.go
@@ -1,4 +1,5 @@
-// Command mw-gateway is described by its --help.
+// Command mw-gateway serves callers' requests on the platform.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-keeper/main.go
+++ b/cmd/mw-keeper/main.go
@@ -1,4 +1,5 @@
-// Command mw-keeper is described by its --help.
+// Command mw-keeper follows the platform's log and VM list for the processes of its VM.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-load/main.go
+++ b/cmd/mw-load/main.go
@@ -1,4 +1,5 @@
-// Command mw-load is described by its --help.
+// Command mw-load sends a mix of requests, verifies every response and reports latencies.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-soak/main.go
+++ b/cmd/mw-soak/main.go
@@ -1,4 +1,5 @@
-// Command mw-soak is described by its --help.
+// Command mw-soak runs gateways against stand-ins, injects faults, and checks the guarantees.
+// Its flags are described by --help.
 package main
 
 import (
--- a/cmd/mw-standin/main.go
+++ b/cmd/mw-standin/main.go
@@ -1,4 +1,5 @@
-// Command mw-standin is described by its --help.
+// Command mw-standin simulates the platform and the backend servers.
+// Its flags are described by --help.
 package main
 
 import (
--- a/internal/cmd/capacitycmd.go
+++ b/internal/cmd/capacitycmd.go
@@ -8,11 +8,11 @@
 	"github.com/mastwinch/mastwinch/internal/capacity"
 )
 
-// newCapacityCommand returns the command that measures how costs grow.
+// newCapacityCommand returns the subcommand of mw-load that measures how costs grow with size.
 func newCapacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure how the cost of each part grows with its size",
+		Usage: "measure how the cost of each component grows with its size",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			series, err := capacity.Measure(ctx)
 			if err != nil {
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd has the command lines of all programs, one file for each.
+// Package cmd implements the command lines of all programs, with one file for each program or group of subcommands.
 package cmd
 
 import (
@@ -19,21 +19,21 @@
 // Exit codes.
 const (
 	exitOK = iota
-	// exitFailed: what was asked for failed.
+	// exitFailed: the operation failed.
 	exitFailed
-	// exitUsage: the command line or the settings are wrong.
+	// exitUsage: the command line or the settings are invalid.
 	exitUsage
-	// exitConflict: the change was refused, for another came first.
+	// exitConflict: the change was rejected, since the object has another version or does not exist.
 	exitConflict
 )
 
-// Names of common flags.
+// Flags of several programs.
 const (
 	flagConfig = "config"
 	flagCheck  = "check"
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with an exit code other than exitFailed.
 type exitError struct {
 	code int
 	err  error
@@ -44,13 +44,13 @@
 	return e.err.Error()
 }
 
-// Unwrap returns the error that the code is for.
+// Unwrap returns the underlying error.
 func (e *exitError) Unwrap() error {
 	return e.err
 }
 
-// Run runs a command until it ends or a signal stops it, and returns the exit
-// code.
+// Run runs a command and returns the exit code. It prints errors to stderr. SIGINT
+// and SIGTERM cancel the command's context.
 func Run(command *cli.Command, args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -67,8 +67,8 @@
 	return exitFailed
 }
 
-// newServerCommand returns the command of a program that reads a file of
-// settings and serves until it is stopped.
+// newServerCommand returns the command of a program that loads a settings file
+// over defaults and calls serve, which returns when its context is cancelled.
 func newServerCommand[T any](name, usage string, defaults T, serve func(context.Context, T) error) *cli.Command {
 	return &cli.Command{
 		Name:                  name,
@@ -76,11 +76,11 @@
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagConfig, Aliases: []string{"c"}, Usage: "read settings from `FILE`"},
-			&cli.BoolFlag{Name: flagCheck, Usage: "check the settings and exit"},
+			&cli.BoolFlag{Name: flagCheck, Usage: "validate the settings and exit"},
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			if command.String(flagConfig) == "" {
-				return &exitError{code: exitUsage, err: errors.New("--config is needed")}
+				return &exitError{code: exitUsage, err: errors.New("--config is required")}
 			}
 			loaded, err := settings.Load(command.String(flagConfig), defaults)
 			if err != nil {
@@ -95,16 +95,17 @@
 	}
 }
 
-// newJSONLogger returns a logger that writes lines of JSON from that level on.
-// An empty level is info.
+// newJSONLogger returns a logger that writes JSON lines of the named level and
+// above. The level of an empty name is info.
 func newJSONLogger(target io.Writer, name string) *slog.Logger {
 	level := slog.LevelInfo
-	_ = level.UnmarshalText([]byte(name)) // checked on load; empty keeps info
+	_ = level.UnmarshalText([]byte(name)) // validated when the settings were loaded; empty keeps info
 	return slog.New(slog.NewJSONHandler(target, &slog.HandlerOptions{Level: level}))
 }
 
-// newLogger returns a logger that writes lines of JSON to stderr. The logging
-// settings may have a level.
+// newLogger returns a logger that writes JSON lines to stderr, with the name of
+// the program and, if it is not empty, the VM. The key "level" of the logging
+// settings is optional.
 func newLogger(program, vm string, logging map[string]string) *slog.Logger {
 	logger := newJSONLogger(os.Stderr, logging["level"]).With("program", program)
 	if vm != "" {
--- a/internal/cmd/entrycmd.go
+++ b/internal/cmd/entrycmd.go
@@ -11,15 +11,15 @@
 
 // NewEntryCommand returns the command line of mw-entry.
 func NewEntryCommand() *cli.Command {
-	return newServerCommand("mw-entry", "take callers' requests and answer for their outcome",
+	return newServerCommand("mw-entry", "accept callers' requests and track each one to its outcome",
 		entry.DefaultSettings(), runEntry)
 }
 
 func runEntry(ctx context.Context, settings entry.Settings) error {
 	logger := newLogger("mw-entry", settings.VM, settings.Logging)
-	served, client, err := entry.New(settings, backend.NewHTTPBackend(), logger)
+	process, client, err := entry.New(settings, backend.NewHTTPBackend(), logger)
 	if err != nil {
 		return err
 	}
-	return served.Run(ctx, client.Run)
+	return process.Run(ctx, client.Run)
 }
--- a/internal/cmd/evacuationcmd.go
+++ b/internal/cmd/evacuationcmd.go
@@ -12,29 +12,30 @@
 	"github.com/mastwinch/mastwinch/internal/entry"
 )
 
-// flagConfirm says that a change is made that was only shown without it.
+// flagConfirm is the flag without which an evacuation is only shown and not begun.
 const flagConfirm = "confirm"
 
+// pathEvacuations is the entry's path of evacuations.
 const pathEvacuations = "/v1/admin/evacuations"
 
 func newEvacuationCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "evacuation",
-		Usage: "keep what is new from the backend servers of a data centre",
+		Usage: "stop new requests to the backend servers of a data centre",
 		Commands: []*cli.Command{
 			{Name: nameList, Usage: "list evacuations", Action: listEvacuations},
 			{
 				Name:      "begin",
-				Usage:     "show what an evacuation would do, and begin it with --" + flagConfirm,
+				Usage:     "show the effect of an evacuation, and begin it with --" + flagConfirm,
 				ArgsUsage: "DATA-CENTRE",
-				Flags:     []cli.Flag{&cli.BoolFlag{Name: flagConfirm, Usage: "begin it"}},
+				Flags:     []cli.Flag{&cli.BoolFlag{Name: flagConfirm, Usage: "begin the evacuation"}},
 				Action:    beginEvacuation,
 			},
 			{
 				Name:      "end",
 				Usage:     "end an evacuation",
 				ArgsUsage: "DATA-CENTRE",
-				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the version that is to be ended", Required: true}},
+				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the evacuation", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
 					return remove(ctx, command, pathEvacuations+"/")
 				},
@@ -66,7 +67,7 @@
 	if err := show(ctx, command, pathEvacuations+"/"+name, &plan, write); err != nil {
 		return err
 	}
-	return &exitError{code: exitUsage, err: errors.Newf("nothing is changed without --%s", flagConfirm)}
+	return &exitError{code: exitUsage, err: errors.Newf("evacuation not begun: --%s is not set", flagConfirm)}
 }
 
 func writeEvacuationPlan(w io.Writer, plan entry.EvacuationPlan) {
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -16,18 +16,18 @@
 	"github.com/mastwinch/mastwinch/internal/logread"
 )
 
-// Fields that name servers.
+// Keys of log lines that name servers.
 const (
 	keyServer  = "server"
 	keyAtFault = "at_fault"
 	keyHelpers = "helpers"
 )
 
-// before is how long before its first line what a VM learnt counts to the story
-// of a request: a belief about a server is at most this old.
+// lookback is the time before a request's first line from which lines about the
+// state of servers are included. A VM places requests by server state that is up to this old.
 const before = 3 * time.Second
 
-// newExplainCommand returns the command that tells the story of one request.
+// newExplainCommand returns the subcommand that prints the log lines that matter for one request.
 func newExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
@@ -37,7 +37,7 @@
 			"request in order, with what its VMs learnt meanwhile and in the 3 s before.",
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() == 0 {
-				return &exitError{code: exitUsage, err: errors.New("the ID of a request is needed")}
+				return &exitError{code: exitUsage, err: errors.New("a request ID is required")}
 			}
 			lines, err := logread.Files(command.Args().Tail(), command.Root().Reader)
 			if err != nil {
@@ -48,7 +48,8 @@
 	}
 }
 
-// explain prints the story of the request with that ID.
+// explain prints the lines of the request with the given ID, marked with an asterisk, and lines of its VMs that belong to
+// no request: those about one of its servers and those about no server, from lookback before its first line to its last.
 func explain(output io.Writer, id string, lines []logread.Line) error {
 	vms := make(map[string]bool)
 	var first, last time.Time
@@ -65,26 +66,26 @@
 		vms[line.VM] = true
 	}
 	if len(vms) == 0 {
-		return &exitError{code: exitFailed, err: errors.Newf("no line has the request %q", id)}
+		return &exitError{code: exitFailed, err: errors.Newf("no line belongs to request %q", id)}
 	}
 	servers := serversOf(id, lines)
-	story := slices.DeleteFunc(lines, func(line logread.Line) bool {
-		learnt := line.Request == "" && vms[line.VM] && !line.At.Before(first.Add(-before)) && !line.At.After(last)
-		server, named := line.Rest[keyServer].(string)
-		return line.Request != id && (!learnt || named && !servers[server])
+	selected := slices.DeleteFunc(lines, func(line logread.Line) bool {
+		isContext := line.Request == "" && vms[line.VM] && !line.At.Before(first.Add(-before)) && !line.At.After(last)
+		server, namesServer := line.Rest[keyServer].(string)
+		return line.Request != id && (!isContext || namesServer && !servers[server])
 	})
-	slices.SortStableFunc(story, func(a, b logread.Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM)) })
-	for _, line := range story {
-		mark := " "
+	slices.SortStableFunc(selected, func(a, b logread.Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM)) })
+	for _, line := range selected {
+		marker := " "
 		if line.Request == id {
-			mark = "*"
+			marker = "*"
 		}
-		fmt.Fprintf(output, "%s %+9.3fs %s  %s%s\n", mark, line.At.Sub(first).Seconds(), line.VM, line.Message, fieldsOf(line))
+		fmt.Fprintf(output, "%s %+9.3fs %s  %s%s\n", marker, line.At.Sub(first).Seconds(), line.VM, line.Message, fieldsOf(line))
 	}
 	return nil
 }
 
-// serversOf returns the servers that the request had to do with.
+// serversOf returns the servers that the lines of a request name.
 func serversOf(id string, lines []logread.Line) map[string]bool {
 	servers := make(map[string]bool)
 	for _, line := range lines {
@@ -103,8 +104,8 @@
 	return servers
 }
 
-// fieldsOf returns the other fields in the order of their names. Times are in
-// nanoseconds on the log.
+// formatFields returns the fields of a line, sorted by key. Empty ones are omitted.
+// Durations are logged in nanoseconds, and are formatted with a unit.
 func fieldsOf(line logread.Line) string {
 	text := &strings.Builder{}
 	for _, key := range slices.Sorted(maps.Keys(line.Rest)) {
@@ -121,7 +122,7 @@
 	return text.String()
 }
 
-// durationKeys has the fields that are durations.
+// durationKeys returns the keys of the fields that are durations.
 func durationKeys() map[string]bool {
 	return map[string]bool{
 		"took": true, "waited": true, "predicted": true, "part": true, "backlog": true, "version_age": true, "after": true,
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -23,10 +23,10 @@
 
 const (
 	flagSite = "site"
-	// memoryPart is the part of a VM's memory at which collecting garbage goes
-	// before speed.
+	// memoryLimitFraction is the fraction of the VM's memory that is the soft memory limit of the
+	// Go runtime, near which garbage is collected more often at the expense of speed.
 	memoryPart = 0.7
-	// siteLook is the time between looks whether the settings file has changed.
+	// sitePollInterval is the interval between checks whether the site file has changed.
 	siteLook = 2 * time.Second
 )
 
@@ -34,26 +34,26 @@
 func NewGatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "mw-gateway",
-		Usage:                 "serve callers on the users' platform",
+		Usage:                 "serve callers' requests on the platform",
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{
-				Name: flagSite, Usage: "read the VM's place from `FILE`",
+				Name: flagSite, Usage: "read the platform's settings of this VM from `FILE`",
 				Sources: cli.EnvVars(platform.SettingsVariable),
 			},
 			&cli.StringFlag{Name: flagConfig, Aliases: []string{"c"}, Usage: "read tuning settings from `FILE`"},
-			&cli.BoolFlag{Name: flagCheck, Usage: "check the settings and exit"},
+			&cli.BoolFlag{Name: flagCheck, Usage: "validate the settings and exit"},
 		},
 		Action: runGateway,
 	}
 }
 
 func runGateway(ctx context.Context, command *cli.Command) error {
-	// Heard for as long as the process lives: it would end by a hangup that it does not hear, also while it stops.
+	// SIGHUP is handled until the process exits, also during shutdown: its default action terminates the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	if command.String(flagSite) == "" {
-		return &exitError{code: exitUsage, err: errors.New("--site is needed")}
+		return &exitError{code: exitUsage, err: errors.New("--site is required")}
 	}
 	site, err := platform.LoadSettings(command.String(flagSite))
 	if err != nil {
@@ -72,61 +72,61 @@
 	if site.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(site.MemoryBytes)))
 	}
-	lines := logging.New(os.Stdout, tuning.Logging.Queue)
-	defer lines.Close()
-	logger := newJSONLogger(lines, tuning.Logging.Level).With("vm", site.VM)
-	system := network.New(tuning.Network)
+	output := logging.New(os.Stdout, tuning.Logging.Queue)
+	defer output.Close()
+	logger := newJSONLogger(output, tuning.Logging.Level).With("vm", site.VM)
+	sockets := network.New(tuning.Network)
 	clock, err := clock.New(clock.Boottime)
 	if err != nil {
-		return err //nolint:wrapcheck // names the clock
+		return err //nolint:wrapcheck // the error names the clock
 	}
 	epochs := epoch.New(clock.Now)
-	store := platform.NewStore(site.Store, network.NewTransport(system), epochs)
-	served, err := gateway.New(tuning, site, platform.Codec{}, platform.Orders{}, gateway.Sources{
+	store := platform.NewStore(site.Store, network.NewTransport(sockets), epochs)
+	process, err := gateway.New(tuning, site, platform.Codec{}, platform.Orders{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
 		Register:      platform.NewMembers(store, logger),
 		Quarantine:    platform.NewQuarantine(store, logger),
 		Epochs:        epochs,
-	}, system, clock, logger)
+	}, sockets, clock, logger)
 	if err != nil {
 		return err
 	}
-	reloading, stop := context.WithCancel(context.WithoutCancel(ctx))
+	reloadCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go reloadSite(reloading, hangups, command.String(flagSite), served, logger)
-	return served.Run(ctx)
+	go reloadSite(reloadCtx, hangups, command.String(flagSite), process, logger)
+	return process.Run(ctx)
 }
 
-// reloadSite reads the settings file again on SIGHUP and when it has changed. A
-// file with a problem changes nothing.
+// reloadSite reloads the site file on SIGHUP and when its modification time has
+// changed, until ctx is cancelled. After an error the previous settings stay in force.
 func reloadSite(
-	ctx context.Context, hangups <-chan os.Signal, file string, served *gateway.Gateway, logger *slog.Logger,
+	ctx context.Context, hangups <-chan os.Signal, file string, process *gateway.Gateway, logger *slog.Logger,
 ) {
 	ticker := time.NewTicker(siteLook)
 	defer ticker.Stop()
-	changed := changeTime(file)
+	modified := changeTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if changeTime(file).Equal(changed) {
+			if changeTime(file).Equal(modified) {
 				continue
 			}
 		}
-		changed = changeTime(file)
+		modified = changeTime(file)
 		site, err := platform.LoadSettings(file)
 		if err != nil {
-			logger.Error("settings not taken", "error", err)
+			logger.Error("reloading the settings failed; keeping the previous ones", "error", err)
 			continue
 		}
-		served.Reload(site)
+		process.Reload(site)
 	}
 }
 
-// changeTime returns when the file was changed last, or zero when it is away.
+// modificationTime returns the modification time of a file, or zero if the file is missing.
 func changeTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/internal/cmd/gatewaycmd_test.go
+++ b/internal/cmd/gatewaycmd_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// freePorts returns loopback addresses at which nobody listens now.
+// freePorts returns loopback addresses with ports that are currently not in use.
 func freePorts(t *testing.T, count int) []net.TCPAddr {
 	t.Helper()
 	var addresses []net.TCPAddr
@@ -27,16 +27,16 @@
 	return addresses
 }
 
-// TestSettingsChangeWhileItStops has a VM that is told to stop and, while it lets requests end, that its settings changed. It
-// ended at once by the second signal, and cut the answers that were under way.
-func TestSettingsChangeWhileItStops(t *testing.T) {
-	free := freePorts(t, 4)
+// TestSettingsChangeDuringShutdown guards against a SIGHUP that terminates a gateway while it drains after SIGTERM, and
+// truncates the responses in flight.
+func TestSettingsChangeDuringShutdown(t *testing.T) {
+	addresses := freePorts(t, 4)
 	site := filepath.Join(t.TempDir(), "site.json")
-	text := fmt.Sprintf(`{"node_name": "vm-1", "zone": "a", "ip": "127.0.0.1",
+	settings := fmt.Sprintf(`{"node_name": "vm-1", "zone": "a", "ip": "127.0.0.1",
 		"listen_addrs": {"front": %q, "ready": %q}, "port_range": [%d, %d],
 		"bounds": {"grace_s": 8, "revoke_ms": 5000, "budget_window_s": 10}, "platform_config": {"address": %q}}`,
-		free[0].String(), free[1].String(), free[2].Port, free[2].Port, free[3].String())
-	assert.NilError(t, os.WriteFile(site, []byte(text), 0o600))
+		addresses[0].String(), addresses[1].String(), addresses[2].Port, addresses[2].Port, addresses[3].String())
+	assert.NilError(t, os.WriteFile(site, []byte(settings), 0o600))
 	program, err := os.Executable()
 	assert.NilError(t, err)
 	command := &exec.Cmd{Path: program, Args: []string{"mw-gateway", "--site", site}}
@@ -44,9 +44,9 @@
 	assert.NilError(t, err)
 	assert.NilError(t, command.Start())
 	signals := map[string]syscall.Signal{`"gateway serves"`: syscall.SIGTERM, `"gateway drains"`: syscall.SIGHUP}
-	said := &strings.Builder{}
+	logged := &strings.Builder{}
 	for lines := bufio.NewScanner(output); lines.Scan(); {
-		fmt.Fprintln(said, lines.Text())
+		fmt.Fprintln(logged, lines.Text())
 		for line, signal := range signals {
 			if strings.Contains(lines.Text(), line) {
 				assert.Check(t, command.Process.Signal(signal))
@@ -54,6 +54,6 @@
 		}
 	}
 	assert.NilError(t, command.Wait())
-	assert.Assert(t, strings.Contains(said.String(), `"settings read again"`), said.String())
-	assert.Assert(t, strings.Contains(said.String(), `"gateway stopped"`), said.String())
+	assert.Assert(t, strings.Contains(logged.String(), `"settings read again"`), logged.String())
+	assert.Assert(t, strings.Contains(logged.String(), `"gateway stopped"`), logged.String())
 }
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -12,7 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/keeper"
 )
 
-// readWait is how long the log may wait for an entry before it answers.
+// readWait is the maximum time for which a read at the end of the log waits for an entry.
 const readWait = 5 * time.Second
 
 // NewKeeperCommand returns the command line of mw-keeper.
@@ -24,7 +24,7 @@
 func runKeeper(ctx context.Context, settings keeper.Settings) error {
 	logger := newLogger("mw-keeper", settings.VM, settings.Logging)
 	client := &http.Client{}
-	kept, err := keeper.New(settings, keeper.Platform{
+	process, err := keeper.New(settings, keeper.Platform{
 		Log:         infra.NewHTTPLog(client, settings.Platform, settings.Log.Stream, readWait),
 		Checkpoints: infra.NewHTTPLog(client, settings.Platform, settings.Log.CheckpointStream, settings.Intervals.Duty/2),
 		VMList:      infra.NewHTTPVMList(client, settings.Platform),
@@ -33,5 +33,5 @@
 	if err != nil {
 		return err
 	}
-	return kept.Run(ctx)
+	return process.Run(ctx)
 }
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -11,13 +11,13 @@
 	"github.com/mastwinch/mastwinch/internal/load"
 )
 
-// flagJSON names the file for the report.
+// flagJSON is the flag for the file of the JSON report.
 const flagJSON = "json"
 
 // NewLoadCommand returns the command line of mw-load.
 func NewLoadCommand() *cli.Command {
 	report := ""
-	command := newServerCommand("mw-load", "send a mix of requests, check every answer and report times",
+	command := newServerCommand("mw-load", "send a mix of requests, verify every response and report latencies",
 		load.Settings{}, func(ctx context.Context, settings load.Settings) error {
 			return runLoad(ctx, settings, report)
 		})
@@ -41,13 +41,13 @@
 		if err != nil {
 			return errors.Wrap(err, "report")
 		}
-		err = os.WriteFile(file, append(encoded, '\n'), 0o644) //nolint:gosec // for anyone to read
+		err = os.WriteFile(file, append(encoded, '\n'), 0o644) //nolint:gosec // the report is public
 		if err != nil {
 			return errors.Wrap(err, "report")
 		}
 	}
 	if report.Check.Broken() {
-		return errors.New("promises were broken")
+		return errors.New("the load test found violations")
 	}
 	return nil
 }
--- a/internal/cmd/lossescmd.go
+++ b/internal/cmd/lossescmd.go
@@ -13,7 +13,7 @@
 	"github.com/mastwinch/mastwinch/internal/losses"
 )
 
-// Flags of losses.
+// Flags of the losses command.
 const (
 	flagPlot          = "plot"
 	flagServers       = "servers"
@@ -23,22 +23,22 @@
 	flagLongFrom      = "long-from"
 )
 
-// newLossesCommand returns the command that tells why requests were not served
+// newLossesCommand returns the subcommand that reports why requests were not served
 // in time.
 func newLossesCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "losses",
-		Usage:     "tell from logs which requests were not served in time, and why",
+		Usage:     "report from logs which requests were not served in time, and why",
 		ArgsUsage: "[FILE...]",
-		Description: "Reads lines of JSON of all VMs from the files, or from standard input. A caller that\n" +
-			"comes back counts as another request.",
+		Description: "Reads JSON lines of all VMs from the files, or from standard input. A caller's retry\n" +
+			"counts as another request.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagPlot, Usage: "also write a plot by second to `FILE`, as .svg, .png or .pdf"},
-			&cli.IntFlag{Name: flagServers, Usage: "also reckon what `COUNT` engines could read in time for a planner that knew all arrivals"},
-			&cli.IntFlag{Name: flagSlots, Value: 16, Usage: "requests that one engine works on at once"},
-			&cli.FloatFlag{Name: flagReadPerSecond, Value: 154_000, Usage: "prompt tokens that one engine reads in a second"},
-			&cli.FloatFlag{Name: flagPairs, Value: 0.162, Usage: "milliseconds for a million pairs of a token and one before it"},
-			&cli.DurationFlag{Name: flagLongFrom, Value: time.Second, Usage: "objective from which on a prompt counts as long"},
+			&cli.IntFlag{Name: flagServers, Usage: "also estimate the prefills that `COUNT` engines could serve in time with all arrivals known in advance"},
+			&cli.IntFlag{Name: flagSlots, Value: 16, Usage: "maximum concurrent requests of one engine"},
+			&cli.FloatFlag{Name: flagReadPerSecond, Value: 154_000, Usage: "prefill rate of one engine, in tokens a second"},
+			&cli.FloatFlag{Name: flagPairs, Value: 0.162, Usage: "prefill time for a million pairs of a token and an earlier token, in milliseconds"},
+			&cli.DurationFlag{Name: flagLongFrom, Value: time.Second, Usage: "minimum objective of a prompt that counts as long"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			lines, err := logread.Files(command.Args().Slice(), command.Root().Reader)
@@ -63,7 +63,7 @@
 	}
 }
 
-// writeBound prints the bound when it is asked for.
+// writeBound prints the estimate of losses.Report.Bound if --servers is set.
 func writeBound(command *cli.Command, report *losses.Report) error {
 	servers := command.Int(flagServers)
 	if servers == 0 {
@@ -71,11 +71,11 @@
 	}
 	for _, name := range []string{flagServers, flagSlots} {
 		if command.Int(name) < 1 {
-			return &exitError{code: exitUsage, err: errors.Newf("--%s: must be above 0", name)}
+			return &exitError{code: exitUsage, err: errors.Newf("--%s: must be greater than 0", name)}
 		}
 	}
 	if command.Float(flagReadPerSecond) <= 0 {
-		return &exitError{code: exitUsage, err: errors.Newf("--%s: must be above 0", flagReadPerSecond)}
+		return &exitError{code: exitUsage, err: errors.Newf("--%s: must be greater than 0", flagReadPerSecond)}
 	}
 	fleet := losses.Fleet{
 		Servers: servers, LongFrom: command.Duration(flagLongFrom),
--- a/internal/cmd/mastwinchcmd.go
+++ b/internal/cmd/mastwinchcmd.go
@@ -17,7 +17,7 @@
 	"github.com/mastwinch/mastwinch/internal/entry"
 )
 
-// Flags of mastwinch.
+// Flags of mastwinch and its subcommands, and their values.
 const (
 	flagEntry   = "entry"
 	flagOutput  = "output"
@@ -25,7 +25,7 @@
 	outputJSON  = "json"
 )
 
-// nameList is the command that lists all of a kind.
+// nameList is the name of the subcommands that list all objects of a kind.
 const nameList = "list"
 
 // NewMastwinchCommand returns the command line of mastwinch, for operators.
@@ -54,7 +54,7 @@
 func newStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show what an entry says of itself",
+		Usage: "show the status of an entry",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			var status entry.VMStatus
 			return show(ctx, command, "/v1/admin/status", &status, func(w io.Writer) {
@@ -72,7 +72,7 @@
 func newReadyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "ready",
-		Usage: "tell by the exit code whether an entry is ready",
+		Usage: "exit with 0 if an entry is ready",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			body, status, err := ask(ctx, command, http.MethodGet, "/readyz", nil)
 			if err == nil && status != http.StatusOK {
@@ -86,7 +86,7 @@
 func newOrganisationCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "organisation",
-		Usage: "list, put and remove organisations",
+		Usage: "list, add, change and remove organisations",
 		Commands: []*cli.Command{
 			{Name: nameList, Usage: "list organisations", Action: listOrganisations},
 			{
@@ -94,9 +94,9 @@
 				Usage:     "add an organisation, or change the one with the expected version",
 				ArgsUsage: "NAME",
 				Flags: []cli.Flag{
-					&cli.Uint32Flag{Name: "weight", Value: 1, Usage: "part of the fleet relative to others"},
-					&cli.Uint32Flag{Name: "max-concurrent", Value: 256, Usage: "requests that one entry runs at a time"},
-					&cli.Uint64Flag{Name: flagVersion, Usage: "the version that is to be changed, 0 for a new one"},
+					&cli.Uint32Flag{Name: "weight", Value: 1, Usage: "share of the fleet relative to other organisations"},
+					&cli.Uint32Flag{Name: "max-concurrent", Value: 256, Usage: "maximum requests in flight at one entry"},
+					&cli.Uint64Flag{Name: flagVersion, Usage: "the current version, 0 for a new organisation"},
 				},
 				Action: putOrganisation,
 			},
@@ -104,7 +104,7 @@
 				Name:      "remove",
 				Usage:     "remove an organisation",
 				ArgsUsage: "NAME",
-				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the version that is to be removed", Required: true}},
+				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the organisation", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
 					return remove(ctx, command, "/v1/admin/organisations/")
 				},
@@ -123,7 +123,7 @@
 				Name:      "create",
 				Usage:     "create a session",
 				ArgsUsage: "ID",
-				Flags:     []cli.Flag{&cli.StringFlag{Name: "organisation", Usage: "whose session it is", Required: true}},
+				Flags:     []cli.Flag{&cli.StringFlag{Name: "organisation", Usage: "the organisation of the session", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
 					created := entry.Session{Organisation: command.String("organisation")}
 					return change(ctx, command, http.MethodPut, "/v1/admin/sessions/", "", created)
@@ -133,7 +133,7 @@
 				Name:      "end",
 				Usage:     "end a session",
 				ArgsUsage: "ID",
-				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the version that is to be ended", Required: true}},
+				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the session", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
 					return remove(ctx, command, "/v1/admin/sessions/")
 				},
@@ -171,17 +171,19 @@
 	})
 }
 
+// removeObject deletes the object of the entry that the single argument names, if it has the version of the --version flag.
 func remove(ctx context.Context, command *cli.Command, path string) error {
 	query := "?version=" + strconv.FormatUint(command.Uint64(flagVersion), 10)
 	return change(ctx, command, http.MethodDelete, path, query, nil)
 }
 
-// show gets what is at a path of an entry and prints it as asked.
+// showObject is showURL for a path of the entry that the --entry flag selects.
 func show(ctx context.Context, command *cli.Command, path string, value any, table func(io.Writer)) error {
 	return showAt(ctx, command, command.String(flagEntry)+path, value, table)
 }
 
-// showAt gets what is at an address and prints it as asked.
+// showURL gets a URL and prints the response body: unchanged with --output json, and otherwise decoded into value and
+// written by table.
 func showAt(ctx context.Context, command *cli.Command, address string, value any, table func(io.Writer)) error {
 	body, status, err := askAt(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -196,22 +198,23 @@
 	}
 	err = json.Unmarshal(body, value)
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "response")
 	}
 	writer := tabwriter.NewWriter(command.Root().Writer, 0, 0, 2, ' ', 0)
 	table(writer)
 	return errors.WithStack(writer.Flush())
 }
 
-// escapedName returns the only argument as a part of a path.
+// escapedName returns the single argument, escaped as a path segment.
 func escapedName(command *cli.Command) (string, error) {
 	if command.NArg() != 1 {
-		return "", &exitError{code: exitUsage, err: errors.New("one argument is needed: " + command.ArgsUsage)}
+		return "", &exitError{code: exitUsage, err: errors.New("exactly one argument is required: " + command.ArgsUsage)}
 	}
 	return url.PathEscape(command.Args().First()), nil
 }
 
-// change orders a change of what the first argument names.
+// changeObject sends a request that changes the object of the entry that the single argument names, and prints the response. The
+// request path is path, the escaped name and query; a nil value is sent as null.
 func change(ctx context.Context, command *cli.Command, method, path, query string, value any) error {
 	name, err := escapedName(command)
 	if err != nil {
@@ -234,10 +237,12 @@
 	}
 }
 
+// sendRequest is sendRequestTo for a path of the entry that the --entry flag selects.
 func ask(ctx context.Context, command *cli.Command, method, path string, value any) ([]byte, int, error) {
 	return askAt(ctx, method, command.String(flagEntry)+path, value)
 }
 
+// sendRequestTo sends a request to a URL, with value as its JSON body, and returns the body and the status of the response.
 func askAt(ctx context.Context, method, address string, value any) ([]byte, int, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/cmd/serverscmd.go
+++ b/internal/cmd/serverscmd.go
@@ -13,13 +13,13 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// flagVM names the VM that is asked.
+// flagVM is the flag for the address of the VM.
 const flagVM = "vm"
 
 func newServersCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "servers",
-		Usage: "show what a VM knows of the backend servers: what they ask for, who said so, what is kept from them",
+		Usage: "show the state of the backend servers at one VM, which VM reported it, and the quarantined requests",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
 				Name: flagVM, Value: "http://127.0.0.1:8641", Sources: cli.EnvVars("MASTWINCH_VM"),
@@ -35,6 +35,9 @@
 	}
 }
 
+// writeStatus writes the VM's status, its servers and its quarantined requests as tab-separated lines. The row
+// "VMs heard" has the number of live VMs, and "decides" the coordinators, the current one first. The column RESTS FROM has the remaining
+// backoff of the server at each VM, and LIMIT its rate limit.
 func writeStatus(w io.Writer, status gateway.Status) {
 	fmt.Fprintf(w, "VM\t%s\nVMs heard\t%d\ndecides\t%s\nepoch of the store\t%d%s\n\n",
 		status.VM, status.Members, cmp.Or(strings.Join(status.Coordinators, ", "), "nobody"),
@@ -48,14 +51,15 @@
 		return
 	}
 	fmt.Fprintln(w, "\nREQUEST KEPT FROM SERVERS\tFOR\tFOUND")
-	for _, kept := range status.Kept {
-		fmt.Fprintf(w, "%s\t%.0f s\t%d times\n", kept.Fingerprint, kept.Seconds, kept.Times)
+	for _, entry := range status.Kept {
+		fmt.Fprintf(w, "%s\t%.0f s\t%d times\n", entry.Fingerprint, entry.Seconds, entry.Times)
 	}
 }
 
-// nothing stands in cells without a value.
+// emptyCell is the text of cells without a value.
 const nothing = "-"
 
+// formatIfSet formats a number of seconds, and returns an empty string for zero.
 func ago(format string, seconds float64) string {
 	if seconds == 0 {
 		return ""
@@ -70,13 +74,13 @@
 	return "by " + server.LeavingToldBy
 }
 
-func restsText(rests []pool.RestStatus) string {
-	if len(rests) == 0 {
+func restsText(backoffs []pool.RestStatus) string {
+	if len(backoffs) == 0 {
 		return nothing
 	}
-	texts := make([]string, 0, len(rests))
-	for _, rest := range rests {
-		texts = append(texts, fmt.Sprintf("%s %.1f s", rest.VM, rest.Seconds))
+	texts := make([]string, 0, len(backoffs))
+	for _, backoff := range backoffs {
+		texts = append(texts, fmt.Sprintf("%s %.1f s", backoff.VM, backoff.Seconds))
 	}
 	return strings.Join(texts, ", ")
 }
--- a/internal/cmd/serverscmd_test.go
+++ b/internal/cmd/serverscmd_test.go
@@ -14,7 +14,7 @@
 	"github.com/mastwinch/mastwinch/internal/pool"
 )
 
-// TestServers shows what a VM knows as a table and as JSON.
+// TestServers checks the output of the servers command as a table and as JSON.
 func TestServers(t *testing.T) {
 	status := gateway.Status{
 		VM: "vm-1", Members: 3, Coordinators: []string{"vm-2", "vm-1"}, Epoch: 2, EpochSeconds: 61,
--- a/internal/cmd/soakcmd.go
+++ b/internal/cmd/soakcmd.go
@@ -12,6 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/soak"
 )
 
+// Flags of mw-soak.
 const (
 	flagSeeds   = "seeds"
 	flagFrom    = "from"
@@ -27,22 +28,22 @@
 
 // NewSoakCommand returns the command line of mw-soak.
 func NewSoakCommand() *cli.Command {
-	usual := soak.DefaultSettings()
+	defaults := soak.DefaultSettings()
 	return &cli.Command{
 		Name:                  "mw-soak",
-		Usage:                 "run gateways against stand-ins, inject faults, and check what is promised",
+		Usage:                 "run gateways against stand-ins, inject faults, and check the guarantees",
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagProgram, Value: "bin/mw-gateway", Usage: "the gateway's `PROGRAM`"},
+			&cli.StringFlag{Name: flagProgram, Value: "bin/mw-gateway", Usage: "path of the gateway's `PROGRAM`"},
 			&cli.Uint64Flag{Name: flagFrom, Value: 1, Usage: "first `SEED`"},
-			&cli.Uint64Flag{Name: flagSeeds, Value: 1, Usage: "how many `SEEDS`, one after the other"},
-			&cli.DurationFlag{Name: flagLength, Value: usual.Length, Usage: "length of the load"},
-			&cli.IntFlag{Name: flagVMs, Value: usual.VMs, Usage: "gateways"},
-			&cli.IntFlag{Name: flagEngines, Value: usual.Engines, Usage: "model engines"},
-			&cli.IntFlag{Name: flagCallers, Value: usual.Callers, Usage: "callers"},
-			&cli.IntFlag{Name: flagNetwork, Value: usual.Network, Usage: "second `NUMBER` of the loopback addresses"},
+			&cli.Uint64Flag{Name: flagSeeds, Value: 1, Usage: "number of `SEEDS`, which run one after the other"},
+			&cli.DurationFlag{Name: flagLength, Value: defaults.Length, Usage: "duration of the load"},
+			&cli.IntFlag{Name: flagVMs, Value: defaults.VMs, Usage: "gateways"},
+			&cli.IntFlag{Name: flagEngines, Value: defaults.Engines, Usage: "model engines"},
+			&cli.IntFlag{Name: flagCallers, Value: defaults.Callers, Usage: "callers"},
+			&cli.IntFlag{Name: flagNetwork, Value: defaults.Network, Usage: "second `NUMBER` (octet) of the loopback addresses"},
 			&cli.StringFlag{Name: flagKeep, Usage: "keep settings and logs in `DIR`"},
-			&cli.BoolFlag{Name: flagPlan, Usage: "print the plans only"},
+			&cli.BoolFlag{Name: flagPlan, Usage: "print the plans of faults and exit"},
 		},
 		Action: runSoak,
 	}
@@ -56,9 +57,9 @@
 	settings.Engines = command.Int(flagEngines)
 	settings.Callers = command.Int(flagCallers)
 	settings.Network = command.Int(flagNetwork)
-	broken := 0
-	for index := range command.Uint64(flagSeeds) {
-		settings.Seed = command.Uint64(flagFrom) + index
+	failedSeeds := 0
+	for offset := range command.Uint64(flagSeeds) {
+		settings.Seed = command.Uint64(flagFrom) + offset
 		if command.Bool(flagPlan) {
 			for _, event := range soak.NewPlan(settings.Seed, settings.Length) {
 				fmt.Fprintf(command.Root().Writer, "seed %d: %s\n", settings.Seed, event)
@@ -71,23 +72,23 @@
 		}
 		fmt.Fprintln(command.Root().Writer, result)
 		if len(result.Violations) > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return errors.Newf("%d seeds with violations", broken)
+	if failedSeeds > 0 {
+		return errors.Newf("%d seeds with violations", failedSeeds)
 	}
 	return nil
 }
 
-// soakOnce plays one seed with a folder of its own.
+// soakOnce runs one seed in a directory of its own: in output, or a temporary one if output is empty.
 func soakOnce(ctx context.Context, settings soak.Settings, output string) (soak.Result, error) {
 	if output == "" {
 		dir, err := os.MkdirTemp("", "mw-soak")
 		if err != nil {
 			return soak.Result{}, errors.Wrap(err, "soak")
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // what stays is small
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that remains is small
 		settings.Dir = dir
 		return soak.Run(ctx, settings)
 	}
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -15,7 +15,7 @@
 
 // NewStandinCommand returns the command line of mw-standin.
 func NewStandinCommand() *cli.Command {
-	command := newServerCommand("mw-standin", "stand in for the platform and the backend servers",
+	command := newServerCommand("mw-standin", "simulate the platform and the backend servers",
 		standin.DefaultSettings(), runStandin)
 	command.Commands = []*cli.Command{newFaultCommand()}
 	return command
@@ -28,14 +28,14 @@
 func newFaultCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "fault",
-		Usage:     "change what goes wrong at running stand-ins",
+		Usage:     "inject faults into running stand-ins",
 		ArgsUsage: `JSON, such as '{"log": {"outage": true}}' or '{"kill": ["suva-a-00"]}'`,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "platform", Value: "http://127.0.0.1:7100", Usage: "the stand-ins' base `ADDRESS`"},
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			if command.NArg() != 1 {
-				return &exitError{code: exitUsage, err: errors.New("one argument of JSON is needed")}
+				return &exitError{code: exitUsage, err: errors.New("exactly one argument, a JSON object, is required")}
 			}
 			return postFault(ctx, command.String("platform"), command.Args().First())
 		},
