--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -72,7 +72,7 @@
 	if site.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(site.MemoryBytes)))
 	}
-	output := logging.New(os.Stdout, tuning.Logging.Queue)
+	output := logging.New(os.Stdout, tuning.Logging.MaxQueuedLines)
 	defer output.Close()
 	logger := newJSONLogger(output, tuning.Logging.Level).With("vm", site.VM)
 	sockets := network.New(tuning.Network)
@@ -81,7 +81,7 @@
 		return err //nolint:wrapcheck // the error names the clock
 	}
 	epochs := epoch.New(clock.Now)
-	store := platform.NewStore(site.Store, network.NewTransport(sockets), epochs)
+	store := platform.NewStore(site.StoreAddress, network.NewTransport(sockets), epochs)
 	process, err := gateway.New(tuning, site, platform.Codec{}, platform.Orders{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
--- a/internal/cmd/serverscmd.go
+++ b/internal/cmd/serverscmd.go
@@ -51,7 +51,7 @@
 		return
 	}
 	fmt.Fprintln(w, "\nREQUEST KEPT FROM SERVERS\tFOR\tFOUND")
-	for _, entry := range status.Kept {
+	for _, entry := range status.Quarantined {
 		fmt.Fprintf(w, "%s\t%.0f s\t%d times\n", entry.Fingerprint, entry.Seconds, entry.Times)
 	}
 }
@@ -74,7 +74,7 @@
 	return "by " + server.DrainingReportedBy
 }
 
-func restsText(backoffs []pool.RestStatus) string {
+func restsText(backoffs []pool.BackoffStatus) string {
 	if len(backoffs) == 0 {
 		return nothing
 	}
--- a/internal/losses/bound.go
+++ b/internal/losses/bound.go
@@ -69,7 +69,7 @@
 		}
 		start := report.slot(request.Arrived)
 		jobs = append(jobs, job{
-			request: request, work: fleet.Engine.ReadTime(request.Tokens),
+			request: request, work: fleet.Engine.PrefillTime(request.Tokens),
 			from: start, due: report.slot(request.Arrived.Add(request.Objective)),
 		})
 	}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -116,7 +116,7 @@
 func TestBound(t *testing.T) {
 	const second, short = "1000000000", "300000000"
 	// One engine with a prefill rate of 100 k tokens a second, whatever the prompt's length.
-	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, ReadPerSecond: 100_000}}
+	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}}
 	for name, test := range map[string]struct {
 		log     string
 		reached int
