--- a/internal/backend/httpbackend.go
+++ b/internal/backend/httpbackend.go
@@ -35,14 +35,14 @@
 	pooled *http.Client
 	// unpooled uses each connection once. It is used for dispatches that may run at most
 	// once: a dead server is then detected when connecting, before anything is sent.
-	fresh *http.Client
+	unpooled *http.Client
 }
 
 // NewHTTPBackend returns a client with its own connection pool.
 func NewHTTPBackend() *HTTPBackend {
 	return &HTTPBackend{
-		pooled: newClient(false),
-		fresh:  newClient(true),
+		pooled:   newClient(false),
+		unpooled: newClient(true),
 	}
 }
 
@@ -89,7 +89,7 @@
 	dispatch.setHeaders(request.Header)
 	client := httpbackend.pooled
 	if dispatch.Key != "" {
-		client = httpbackend.fresh
+		client = httpbackend.unpooled
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -170,13 +170,13 @@
 
 // Cancel implements Engine.
 func (httpbackend *HTTPBackend) Cancel(ctx context.Context, address, attempt string) error {
-	return httpbackend.order(ctx, http.MethodDelete, address, "/v1/streams/"+url.PathEscape(attempt), nil)
+	return httpbackend.sendIdempotent(ctx, http.MethodDelete, address, "/v1/streams/"+url.PathEscape(attempt), nil)
 }
 
 // Streams implements Engine.
 func (httpbackend *HTTPBackend) Streams(ctx context.Context, address string) ([]StreamInfo, error) {
 	var infos []StreamInfo
-	err := httpbackend.get(ctx, address, "/v1/streams", &infos)
+	err := httpbackend.getJSON(ctx, address, "/v1/streams", &infos)
 	return infos, err
 }
 
@@ -186,23 +186,23 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	return httpbackend.order(ctx, http.MethodPut, address, "/v1/reservations/"+url.PathEscape(id), body)
+	return httpbackend.sendIdempotent(ctx, http.MethodPut, address, "/v1/reservations/"+url.PathEscape(id), body)
 }
 
 // Release implements Engine.
 func (httpbackend *HTTPBackend) Release(ctx context.Context, address, id string) error {
-	return httpbackend.order(ctx, http.MethodDelete, address, "/v1/reservations/"+url.PathEscape(id), nil)
+	return httpbackend.sendIdempotent(ctx, http.MethodDelete, address, "/v1/reservations/"+url.PathEscape(id), nil)
 }
 
 // Load implements Engine.
 func (httpbackend *HTTPBackend) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
-	err := httpbackend.get(ctx, address, "/v1/load", &load)
+	err := httpbackend.getJSON(ctx, address, "/v1/load", &load)
 	return load, err
 }
 
 // getJSON decodes the JSON response to a GET request into value.
-func (httpbackend *HTTPBackend) get(ctx context.Context, address, path string, value any) error {
+func (httpbackend *HTTPBackend) getJSON(ctx context.Context, address, path string, value any) error {
 	response, err := httpbackend.send(ctx, http.MethodGet, address, path, nil)
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 
 // sendIdempotent sends an idempotent request. A response that the resource does not
 // exist counts as success.
-func (httpbackend *HTTPBackend) order(ctx context.Context, method, address, path string, body []byte) error {
+func (httpbackend *HTTPBackend) sendIdempotent(ctx context.Context, method, address, path string, body []byte) error {
 	response, err := httpbackend.send(ctx, method, address, path, body)
 	if err != nil {
 		return err
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -26,7 +26,7 @@
 	client := &http.Client{}
 	process, err := keeper.New(settings, keeper.Platform{
 		Log:         infra.NewHTTPLog(client, settings.Platform, settings.Log.Stream, readWait),
-		Checkpoints: infra.NewHTTPLog(client, settings.Platform, settings.Log.CheckpointStream, settings.Intervals.Duty/2),
+		Checkpoints: infra.NewHTTPLog(client, settings.Platform, settings.Log.CheckpointStream, settings.Intervals.Maintenance/2),
 		VMList:      infra.NewHTTPVMList(client, settings.Platform),
 		Engines:     backend.NewHTTPBackend(),
 	}, logger)
--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/cold_test.go
@@ -24,7 +24,7 @@
 // given time.
 func (fleet *fleet) setCold(number int, left time.Duration) {
 	server := fleet.servers[number]
-	entry := directory.Entry{ID: server.id, Service: plainName, Address: server.id, Slots: 16, ColdLeft: left}
+	entry := directory.Entry{ID: server.id, Service: plainName, Address: server.id, Slots: 16, ColdRemaining: left}
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for number, vm := range fleet.vms {
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -18,10 +18,10 @@
 	// Slots is the number of requests that the server processes concurrently.
 	Slots int
 	// Drains is set when the server drains, and so must not receive new requests.
-	Leaving bool
+	Drains bool
 	// ColdRemaining is the time for which the server was still cold when the entry was written, or zero. A cold server
 	// can handle only few requests.
-	ColdLeft time.Duration
+	ColdRemaining time.Duration
 }
 
 // Newer reports whether the entry is newer than another one of its key: it is of a later start, or of the same start
@@ -32,7 +32,7 @@
 		return false
 	}
 	if entry.Started.Equal(other.Started) {
-		return entry.Leaving && !other.Leaving
+		return entry.Drains && !other.Drains
 	}
 	return entry.Started.After(other.Started)
 }
--- a/internal/entry/adopt.go
+++ b/internal/entry/adopt.go
@@ -85,7 +85,7 @@
 	defer stop()
 	stopClosing := context.AfterFunc(timedCtx, stream.Close)
 	defer stopClosing()
-	forwarder := &run{active: adopted, entry: entry, sending: fleet.NoSending(), mayHaveRun: true}
+	forwarder := &run{active: adopted, entry: entry, sending: fleet.UntrackedRequest(), mayHaveRun: true}
 	result := forwarder.relay(timedCtx, stream, location.source())
 	switch result.kind {
 	case resultCompleted:
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -27,8 +27,8 @@
 // attempt sends the request once, to the servers of a routing decision. If there
 // are several, memory is reserved at each before the request is sent to the first.
 func (forwarder *run) attempt(ctx context.Context, decision routing.Decision) result {
-	forwarder.sending = forwarder.entry.fleet.Sent(decision, forwarder.routingRequest())
-	defer forwarder.sending.Over()
+	forwarder.sending = forwarder.entry.fleet.RecordDispatch(decision, forwarder.routingRequest())
+	defer forwarder.sending.Finish()
 	attempt := forwarder.attempts
 	forwarder.attempts++
 	group := ""
@@ -123,7 +123,7 @@
 		return forwarder.dispatchFailed(ctx, server, err)
 	}
 	forwarder.mayHaveRun = true
-	forwarder.buffer.Start()
+	forwarder.buffer.MarkStarted()
 	forwarder.buffer.Add(relay.Token{Text: string(response), Server: server.ID})
 	return result{kind: resultCompleted, server: server.ID}
 }
@@ -142,7 +142,7 @@
 // resumes the stream after connection losses.
 func (forwarder *run) relay(ctx context.Context, stream backend.Stream, source source) result {
 	defer func() { stream.Close() }()
-	forwarder.buffer.Start()
+	forwarder.buffer.MarkStarted()
 	// losses is the number of connection losses since the last frame.
 	losses := 0
 	for {
@@ -176,7 +176,7 @@
 		forwarder.entry.metrics.dropped.Inc()
 		return
 	}
-	forwarder.sending.Computed()
+	forwarder.sending.FinishPrefill()
 	if frame.Seq == 0 {
 		forwarder.observeFirstToken()
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -228,7 +228,7 @@
 
 func (entry *Entry) cleanOnce(now time.Time) {
 	for _, active := range entry.registry.list() {
-		if active.mayBeDropped() && active.buffer.Unread(now.Add(-entry.settings.Relay.DetachGrace)) {
+		if active.mayBeDropped() && active.buffer.UnreadSince(now.Add(-entry.settings.Relay.DetachGrace)) {
 			active.cancel(errCallerGone)
 		}
 	}
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -82,7 +82,7 @@
 	}
 	found.cancel(errCancelled)
 	for {
-		view := found.buffer.From(0)
+		view := found.buffer.ViewFrom(0)
 		if view.Outcome != nil {
 			writeJSON(w, http.StatusOK, statusOfOutcome(found.request.ID, *view.Outcome))
 			return
--- a/internal/entry/forwarder.go
+++ b/internal/entry/forwarder.go
@@ -41,7 +41,7 @@
 	// attempts is the number of attempts so far.
 	attempts int
 	// sending is the current attempt in the load accounting of the fleet.
-	sending fleet.Sending
+	sending fleet.ActiveRequest
 	// tried lists the servers that failed, which are excluded from routing. It is
 	// cleared when no other server is left.
 	tried []string
@@ -189,7 +189,7 @@
 	}
 	retryAfter := forwarder.entry.settings.Admission.RetryAfter
 	switch refusal {
-	case routing.RefusalNoTime:
+	case routing.RefusalDeadline:
 		return forwarder.failed(request.ReasonNoTime, retryAfter), true
 	case routing.RefusalTooLong:
 		return forwarder.failed(request.ReasonTooLong, 0), true
@@ -258,7 +258,7 @@
 	entry.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	switch result.kind {
 	case resultCompleted:
-		entry.fleet.Succeeded(result.server)
+		entry.fleet.MarkSucceeded(result.server)
 		entry.quarantine.RecordCompletion(forwarder.fingerprint, result.server)
 		return request.Completed(result.server), true
 	case resultInterrupted:
@@ -269,7 +269,7 @@
 	if result.lost {
 		entry.quarantine.RecordLoss(quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: result.server, HadEvent: result.ran})
 	}
-	ejected := entry.fleet.Failed(result.server)
+	ejected := entry.fleet.MarkFailed(result.server)
 	entry.logger.Warn("attempt failed", "request_id", forwarder.request.ID, "attempt", forwarder.attempts-1,
 		"server", result.server, "result", result.kind, "lost", result.lost,
 		"fingerprint", forwarder.fingerprint, "ejected", ejected, "error", result.err)
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -85,7 +85,7 @@
 		ctx, cancel := context.WithTimeout(entry.life, abandonTime)
 		defer cancel()
 		for {
-			moved := entry.replica.Moved()
+			moved := entry.replica.Changed()
 			if entry.owns(abandoned) {
 				entry.proposeFinish(ctx, abandoned, request.NotRun(request.ReasonLogUnavailable, 0))
 				return
@@ -111,7 +111,7 @@
 	var attempt ledger.Attempt
 	var ok bool
 	entry.replica.View(func(state *state.State) {
-		attempt, ok = state.Ledger.OfRequest(requestID)
+		attempt, ok = state.Ledger.GetByRequest(requestID)
 	})
 	return attempt, ok
 }
@@ -155,5 +155,5 @@
 	entry.replica.View(func(state *state.State) {
 		attempt, ok = state.Ledger.Get(key)
 	})
-	return attempt, ok && !attempt.Released()
+	return attempt, ok && !attempt.Retryable()
 }
--- a/internal/entry/reservations.go
+++ b/internal/entry/reservations.go
@@ -34,7 +34,7 @@
 // those before it. This order prevents deadlocks between groups. While a group
 // waits, no other group can take the memory that it has reserved.
 func (forwarder *run) reserve(ctx context.Context, servers []routing.Server) (*reservations, *result) {
-	need := forwarder.routingRequest().Need()
+	need := forwarder.routingRequest().RequiredMemory()
 	reserved := &reservations{
 		entry:  forwarder.entry,
 		name:   attemptID(forwarder.request.ID, forwarder.attempts-1) + "@" + strings.Join(serverIDs(servers), ","),
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -46,7 +46,7 @@
 // accepted it. If its key was granted to another request, the response describes
 // that one.
 func (entry *Entry) answerUnstarted(w http.ResponseWriter, active *active) {
-	outcome := active.buffer.From(0).Outcome
+	outcome := active.buffer.ViewFrom(0).Outcome
 	if outcome == nil {
 		return // the caller has disconnected
 	}
@@ -64,7 +64,7 @@
 	heartbeat := time.NewTimer(entry.settings.Relay.Heartbeat)
 	defer heartbeat.Stop()
 	for {
-		view := active.buffer.From(0)
+		view := active.buffer.ViewFrom(0)
 		switch {
 		case view.Started || len(view.Tokens) > 0:
 			return true
@@ -92,7 +92,7 @@
 	heartbeat := time.NewTicker(entry.settings.Relay.Heartbeat)
 	defer heartbeat.Stop()
 	for {
-		view := active.buffer.From(from)
+		view := active.buffer.ViewFrom(from)
 		for _, token := range view.Tokens {
 			events.token(token)
 			from = token.Seq + 1
@@ -171,7 +171,7 @@
 	detach := active.buffer.Attach(entry.now)
 	defer detach()
 	for {
-		view := active.buffer.From(0)
+		view := active.buffer.ViewFrom(0)
 		switch {
 		case view.Outcome != nil && !view.Started:
 			entry.answerUnstarted(w, active)
@@ -190,7 +190,7 @@
 
 // statusOf returns the status of a request that is in the registry of this entry.
 func statusOf(active *active) Status {
-	view := active.buffer.From(0)
+	view := active.buffer.ViewFrom(0)
 	var text strings.Builder
 	for _, token := range view.Tokens {
 		text.WriteString(token.Text)
--- a/internal/fleet/activerequest.go
+++ b/internal/fleet/activerequest.go
@@ -12,36 +12,36 @@
 	// minRateTokens is the minimum number of prompt tokens, with those queued before, of
 	// a sample. The time of fewer tokens depends more on the time of a step than on the
 	// rate.
-	rateWork = 4096
+	minRateTokens = 4096
 	// rateWeight is the weight of a sample in the moving average.
-	rateGain = 0.1
+	rateWeight = 0.1
 )
 
 // ActiveRequest is a request in flight to the servers of a decision. Its functions are
 // safe for concurrent use.
-type Sending struct {
+type ActiveRequest struct {
 	// FinishPrefill records that the prompt is prefilled. Calls after the first have no
 	// effect.
-	Computed func()
+	FinishPrefill func()
 	// Finish records that the request has ended. Calls after the first have no effect.
-	Over func()
+	Finish func()
 }
 
 // UntrackedRequest returns an ActiveRequest that records nothing, for a stream that
 // another entry process started.
-func NoSending() Sending {
-	return Sending{Computed: func() {}, Over: func() {}}
+func UntrackedRequest() ActiveRequest {
+	return ActiveRequest{FinishPrefill: func() {}, Finish: func() {}}
 }
 
 // RecordDispatch records that a request is sent to the servers of a decision. The
 // caller must call Finish when the request has ended.
-func (fleet *Fleet) Sent(decision routing.Decision, request routing.Request) Sending {
+func (fleet *Fleet) RecordDispatch(decision routing.Decision, request routing.Request) ActiveRequest {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	groupSize := max(1, len(decision.Servers))
-	share := pending{short: request.Tokens / groupSize}
+	share := pendingPrefill{short: request.Tokens / groupSize}
 	if decision.Long {
-		share = pending{long: request.Tokens / groupSize}
+		share = pendingPrefill{long: request.Tokens / groupSize}
 	}
 	now := fleet.now()
 	for _, chosen := range decision.Servers {
@@ -52,42 +52,42 @@
 		server.outstanding++
 		server.own.short += share.short
 		server.own.long += share.long
-		server.sent = append(server.sent, sent{at: now, memory: request.Need() / groupSize})
+		server.unreported = append(server.unreported, unreported{at: now, memory: request.RequiredMemory() / groupSize})
 		server.ejection.StartProbe(now, fleet.settings.ejection())
 	}
-	removePending := sync.OnceFunc(func() { fleet.computed(decision, share) })
+	removePending := sync.OnceFunc(func() { fleet.finishPrefill(decision, share) })
 	finishPrefill := sync.OnceFunc(func() {
-		fleet.observe(decision, request, now)
+		fleet.updatePrefillRate(decision, request, now)
 		removePending()
 	})
 	finish := sync.OnceFunc(func() {
 		removePending()
-		fleet.over(decision)
+		fleet.finish(decision)
 	})
-	return Sending{Computed: finishPrefill, Over: finish}
+	return ActiveRequest{FinishPrefill: finishPrefill, Finish: finish}
 }
 
 // updatePrefillRate updates the server's prefill rate by the time that a short prompt
 // took. Long prompts, and those with few tokens to prefill, are ignored.
-func (fleet *Fleet) observe(decision routing.Decision, request routing.Request, sentAt time.Time) {
+func (fleet *Fleet) updatePrefillRate(decision routing.Decision, request routing.Request, sentAt time.Time) {
 	chosen := decision.Servers[0]
 	tokens := chosen.QueuedShort + request.Tokens
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	elapsed := fleet.now().Sub(sentAt).Seconds()
 	server := fleet.servers[chosen.ID]
-	if server == nil || decision.Long || tokens < rateWork || elapsed <= 0 {
+	if server == nil || decision.Long || tokens < minRateTokens || elapsed <= 0 {
 		return
 	}
 	sample := float64(tokens) / elapsed
-	if server.rate == 0 {
-		server.rate = sample
+	if server.prefillRate == 0 {
+		server.prefillRate = sample
 	}
-	server.rate += rateGain * (sample - server.rate)
+	server.prefillRate += rateWeight * (sample - server.prefillRate)
 }
 
 // finishPrefill removes the request's prompt tokens from those pending at its servers.
-func (fleet *Fleet) computed(decision routing.Decision, share pending) {
+func (fleet *Fleet) finishPrefill(decision routing.Decision, share pendingPrefill) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, chosen := range decision.Servers {
@@ -99,7 +99,7 @@
 }
 
 // finish removes the request from those in flight to its servers.
-func (fleet *Fleet) over(decision routing.Decision) {
+func (fleet *Fleet) finish(decision routing.Decision) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	for _, chosen := range decision.Servers {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -34,7 +34,7 @@
 	EjectTimeMax time.Duration `yaml:"eject_time_max" validate:"min=10ms"`
 	// DrainingTime is how long a server is treated as draining after it reported that it
 	// drains.
-	LeavingTime time.Duration `yaml:"leaving_time" validate:"min=1s"`
+	DrainingTime time.Duration `yaml:"leaving_time" validate:"min=1s"`
 }
 
 // ejection returns the limits for the ejection of servers.
@@ -49,7 +49,7 @@
 		EjectAfter:   3,
 		EjectTime:    time.Second,
 		EjectTimeMax: 30 * time.Second,
-		LeavingTime:  30 * time.Second,
+		DrainingTime: 30 * time.Second,
 	}
 }
 
@@ -117,7 +117,7 @@
 		server.load = load
 		server.others = newOthers(load, server.own)
 		if load.GetLeaving() {
-			server.leavingUntil = fleet.now().Add(fleet.settings.LeavingTime)
+			server.drainingUntil = fleet.now().Add(fleet.settings.DrainingTime)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	now := fleet.now()
 	servers := make([]routing.Server, 0, len(fleet.byKind[kind]))
 	for _, server := range fleet.byKind[kind] {
-		snapshot := server.view(now, fleet.settings.ReportLag)
+		snapshot := server.snapshot(now, fleet.settings.ReportLag)
 		snapshot.Leaving = snapshot.Leaving || evacuated(snapshot.DataCentre)
 		servers = append(servers, snapshot)
 	}
@@ -175,7 +175,7 @@
 }
 
 // MarkSucceeded records a successful response of the server, which ends its ejection.
-func (fleet *Fleet) Succeeded(id string) {
+func (fleet *Fleet) MarkSucceeded(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if server := fleet.servers[id]; server != nil {
@@ -185,7 +185,7 @@
 
 // MarkFailed records a failure of the server, and reports whether the server is
 // ejected as a result.
-func (fleet *Fleet) Failed(id string) bool {
+func (fleet *Fleet) MarkFailed(id string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	server := fleet.servers[id]
@@ -201,7 +201,7 @@
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if server := fleet.servers[id]; server != nil {
-		server.leavingUntil = fleet.now().Add(fleet.settings.LeavingTime)
+		server.drainingUntil = fleet.now().Add(fleet.settings.DrainingTime)
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -58,37 +58,37 @@
 			wantFree: 1000,
 		},
 		"short prompt before its first token": {
-			action:    func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request) },
+			action:    func(tested *fleet.Fleet, _ *clock) { tested.RecordDispatch(decision(false), request) },
 			wantShort: 100, wantFree: 880,
 		},
 		"long prompt before its first token": {
-			action:   func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(true), request) },
+			action:   func(tested *fleet.Fleet, _ *clock) { tested.RecordDispatch(decision(true), request) },
 			wantLong: 100, wantFree: 880,
 		},
 		"only memory after the first token": {
-			action:   func(tested *fleet.Fleet, _ *clock) { tested.Sent(decision(false), request).Computed() },
+			action:   func(tested *fleet.Fleet, _ *clock) { tested.RecordDispatch(decision(false), request).FinishPrefill() },
 			wantFree: 880,
 		},
 		"repeated calls have no effect": {
 			action: func(tested *fleet.Fleet, _ *clock) {
-				tested.Sent(decision(false), request)
-				second := tested.Sent(decision(false), request)
-				second.Computed()
-				second.Over()
-				second.Over()
+				tested.RecordDispatch(decision(false), request)
+				second := tested.RecordDispatch(decision(false), request)
+				second.FinishPrefill()
+				second.Finish()
+				second.Finish()
 			},
 			wantShort: 100, wantFree: 760,
 		},
 		"reported prompts of this entry process are not counted twice": {
 			action: func(tested *fleet.Fleet, _ *clock) {
-				tested.Sent(decision(false), request)
+				tested.RecordDispatch(decision(false), request)
 				tested.SetLoads(loads(&wire.Load{QueuedPrefillTokens: 130, FreeTokens: 1000}))
 			},
 			wantShort: 130, wantFree: 880,
 		},
 		"reported memory after the report lag": {
 			action: func(tested *fleet.Fleet, clock *clock) {
-				tested.Sent(decision(false), request).Computed()
+				tested.RecordDispatch(decision(false), request).FinishPrefill()
 				clock.now = clock.now.Add(time.Second)
 				tested.SetLoads(loads(&wire.Load{FreeTokens: 600}))
 			},
@@ -130,31 +130,31 @@
 func TestEjection(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	tested := newFleet(clock)
-	assert.Assert(t, !tested.Failed(id))
-	assert.Assert(t, !tested.Failed(id))
+	assert.Assert(t, !tested.MarkFailed(id))
+	assert.Assert(t, !tested.MarkFailed(id))
 	assert.Assert(t, !view(tested).Ejected)
-	assert.Assert(t, tested.Failed(id))
+	assert.Assert(t, tested.MarkFailed(id))
 	assert.Assert(t, view(tested).Ejected)
 
 	// After the ejection time one probe request is allowed, and no other until it ends.
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, !view(tested).Ejected)
-	probe := tested.Sent(decision(false), routing.Request{})
+	probe := tested.RecordDispatch(decision(false), routing.Request{})
 	assert.Assert(t, view(tested).Ejected)
 
 	// The probe fails, which doubles the ejection time.
-	tested.Failed(id)
-	probe.Over()
+	tested.MarkFailed(id)
+	probe.Finish()
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, view(tested).Ejected)
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, !view(tested).Ejected)
 
 	// The probe succeeds, which ends the ejection.
-	tested.Sent(decision(false), routing.Request{})
-	tested.Succeeded(id)
+	tested.RecordDispatch(decision(false), routing.Request{})
+	tested.MarkSucceeded(id)
 	assert.Assert(t, !view(tested).Ejected)
-	assert.Assert(t, !tested.Failed(id))
+	assert.Assert(t, !tested.MarkFailed(id))
 }
 
 // The prefill rate is measured from short prompts only, with the tokens queued before
@@ -175,10 +175,10 @@
 		t.Run(name, func(t *testing.T) {
 			clock := &clock{now: time.Unix(1000, 0)}
 			tested := newFleet(clock)
-			request := tested.Sent(c.decision, routing.Request{Tokens: c.tokens})
+			request := tested.RecordDispatch(c.decision, routing.Request{Tokens: c.tokens})
 			clock.now = clock.now.Add(2 * time.Second)
-			request.Computed()
-			request.Over()
+			request.FinishPrefill()
+			request.Finish()
 			assert.Equal(t, view(tested).PrefillRate, c.want)
 		})
 	}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -17,40 +17,40 @@
 	load *wire.Load
 	// others is the pending prefill of other entry processes: the reported tokens, less
 	// those pending for this entry process when the report arrived.
-	others pending
+	others pendingPrefill
 	// own is the pending prefill of this entry process.
-	own pending
+	own pendingPrefill
 	// prefillRate is the measured number of prompt tokens prefilled per second, or zero.
-	rate float64
+	prefillRate float64
 	// unreported has the requests sent within the report lag, oldest first.
-	sent []sent
+	unreported []unreported
 	// outstanding is the number of this entry process's requests in flight.
 	outstanding int
 	ejection    ejection.State
 	// drainingUntil is until when the server is treated as draining because it reported
 	// that it drains.
-	leavingUntil time.Time
+	drainingUntil time.Time
 }
 
 // pendingPrefill is the number of prompt tokens that are not yet prefilled, of short
 // and of long prompts.
-type pending struct {
+type pendingPrefill struct {
 	short int
 	long  int
 }
 
 // unreported is the memory, in tokens, of a request sent so recently that load reports
 // may not include it.
-type sent struct {
+type unreported struct {
 	at     time.Time
 	memory int
 }
 
 // newOthers returns the pending prefill of other entry processes.
-func newOthers(load *wire.Load, own pending) pending {
+func newOthers(load *wire.Load, own pendingPrefill) pendingPrefill {
 	long := int(load.GetQueuedLongTokens())            //nolint:gosec // bounded by any machine's memory
 	short := int(load.GetQueuedPrefillTokens()) - long //nolint:gosec // as above
-	return pending{
+	return pendingPrefill{
 		short: max(0, short-own.short),
 		long:  max(0, long-own.long),
 	}
@@ -58,7 +58,7 @@
 
 // snapshot returns the server's state at now, and drops the sent requests that are
 // older than lag.
-func (server *server) view(now time.Time, lag time.Duration) routing.Server {
+func (server *server) snapshot(now time.Time, lag time.Duration) routing.Server {
 	listed := server.listed
 	memory := int(listed.GetMemoryTokens()) //nolint:gosec // bounded by any machine's memory
 	snapshot := routing.Server{
@@ -71,26 +71,26 @@
 		QueuedShort: server.own.short + server.others.short,
 		QueuedLong:  server.own.long + server.others.long,
 		LongRank:    server.longRank,
-		PrefillRate: server.rate,
+		PrefillRate: server.prefillRate,
 		Outstanding: server.outstanding,
-		Leaving:     listed.GetLeaving() || now.Before(server.leavingUntil),
+		Leaving:     listed.GetLeaving() || now.Before(server.drainingUntil),
 		Ejected:     server.ejection.Ejected(now),
 	}
 	if load := server.load; load != nil {
 		snapshot.Free = int(load.GetFreeTokens()) //nolint:gosec // as above
 	}
-	server.forget(now.Add(-lag))
-	for _, unreported := range server.sent {
+	server.dropReported(now.Add(-lag))
+	for _, unreported := range server.unreported {
 		snapshot.Free -= unreported.memory
 	}
 	return snapshot
 }
 
 // dropReported drops the requests sent before that time, which load reports include.
-func (server *server) forget(before time.Time) {
-	first := slices.IndexFunc(server.sent, func(unreported sent) bool { return !unreported.at.Before(before) })
+func (server *server) dropReported(before time.Time) {
+	first := slices.IndexFunc(server.unreported, func(unreported unreported) bool { return !unreported.at.Before(before) })
 	if first < 0 {
-		first = len(server.sent)
+		first = len(server.unreported)
 	}
-	server.sent = server.sent[first:]
+	server.unreported = server.unreported[first:]
 }
--- a/internal/keeper/appender.go
+++ b/internal/keeper/appender.go
@@ -18,11 +18,11 @@
 
 // Limits and delay of the appender.
 const (
-	maxQueued     = 64 << 10
-	maxBatchBytes = 256 << 10
+	maxQueuedRecords = 64 << 10
+	maxBatchBytes    = 256 << 10
 	// readBackDelay is how long the appender waits, after a failed append, for
 	// the records to be read back from the log before it appends them again.
-	readBackWait = 300 * time.Millisecond
+	readBackDelay = 300 * time.Millisecond
 )
 
 // errQueueFull is returned when records are proposed faster than the log
@@ -43,18 +43,18 @@
 	// queue holds the records that have not been sent to the log, oldest first.
 	queue []*proposal
 	// pending has the IDs of the records in queue and in flight.
-	queued map[string]struct{}
+	pending map[string]struct{}
 	// nonEmpty receives a value when a record is added to the queue.
-	filled chan struct{}
+	nonEmpty chan struct{}
 }
 
 // proposal is a record to append.
 type proposal struct {
 	record *wire.Record
 	// deadline is when the appender stops retrying.
-	expires time.Time
+	deadline time.Time
 	// verdict receives the verdict when the record has been read back.
-	read <-chan fold.Verdict
+	verdict <-chan fold.Verdict
 	// stop ends the wait for the verdict.
 	stop func()
 }
@@ -68,8 +68,8 @@
 		settings: settings,
 		metrics:  metrics,
 		logger:   logger,
-		queued:   make(map[string]struct{}),
-		filled:   make(chan struct{}, 1),
+		pending:  make(map[string]struct{}),
+		nonEmpty: make(chan struct{}, 1),
 	}
 }
 
@@ -78,22 +78,22 @@
 func (appender *appender) propose(record *wire.Record) error {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
-	if _, ok := appender.queued[record.GetId()]; ok {
+	if _, ok := appender.pending[record.GetId()]; ok {
 		return nil
 	}
-	if len(appender.queue) >= maxQueued {
+	if len(appender.queue) >= maxQueuedRecords {
 		return errQueueFull
 	}
 	verdict, stop := appender.replica.Await(record.GetId())
 	appender.queue = append(appender.queue, &proposal{
-		record:  record,
-		expires: time.Now().Add(appender.settings.ProposalTime),
-		read:    verdict,
-		stop:    stop,
+		record:   record,
+		deadline: time.Now().Add(appender.settings.ProposalTime),
+		verdict:  verdict,
+		stop:     stop,
 	})
-	appender.queued[record.GetId()] = struct{}{}
+	appender.pending[record.GetId()] = struct{}{}
 	select {
-	case appender.filled <- struct{}{}:
+	case appender.nonEmpty <- struct{}{}:
 	default:
 	}
 	return nil
@@ -103,11 +103,11 @@
 func (appender *appender) run(ctx context.Context) {
 	for {
 		select {
-		case <-appender.filled:
+		case <-appender.nonEmpty:
 		case <-ctx.Done():
 			return
 		}
-		for batch := appender.take(); len(batch) > 0 && ctx.Err() == nil; batch = appender.take() {
+		for batch := appender.nextBatch(); len(batch) > 0 && ctx.Err() == nil; batch = appender.nextBatch() {
 			started := time.Now()
 			appender.append(ctx, batch)
 			wait.For(ctx, appender.settings.AppendInterval-time.Since(started))
@@ -117,7 +117,7 @@
 
 // nextBatch removes the next batch from the queue. It returns an empty batch if
 // the queue is empty.
-func (appender *appender) take() []*proposal {
+func (appender *appender) nextBatch() []*proposal {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
 	size := 0
@@ -140,7 +140,7 @@
 	for len(batch) > 0 {
 		err := appender.appendOnce(ctx, batch)
 		if err == nil {
-			appender.settle(batch)
+			appender.remove(batch)
 			return
 		}
 		if ctx.Err() != nil {
@@ -149,8 +149,8 @@
 		appender.metrics.appendErrors.Inc()
 		appender.logger.Warn("append failed; retrying the records that are not read back from the log",
 			"records", len(batch), "error", err)
-		wait.For(ctx, readBackWait)
-		batch = appender.unsettled(batch, time.Now())
+		wait.For(ctx, readBackDelay)
+		batch = appender.retryable(batch, time.Now())
 	}
 }
 
@@ -177,32 +177,32 @@
 
 // retryable returns the proposals of batch that were not read back and are not
 // past their deadline, and removes the others.
-func (appender *appender) unsettled(batch []*proposal, now time.Time) []*proposal {
+func (appender *appender) retryable(batch []*proposal, now time.Time) []*proposal {
 	var remaining, finished []*proposal
 	for _, proposal := range batch {
 		select {
-		case <-proposal.read:
+		case <-proposal.verdict:
 			finished = append(finished, proposal)
 			continue
 		default:
 		}
-		if now.After(proposal.expires) {
+		if now.After(proposal.deadline) {
 			finished = append(finished, proposal)
 			continue
 		}
 		remaining = append(remaining, proposal)
 	}
-	appender.settle(finished)
+	appender.remove(finished)
 	return remaining
 }
 
 // remove ends the wait for the verdicts of the batch and allows its record IDs
 // to be proposed again.
-func (appender *appender) settle(batch []*proposal) {
+func (appender *appender) remove(batch []*proposal) {
 	appender.mu.Lock()
 	defer appender.mu.Unlock()
 	for _, proposal := range batch {
 		proposal.stop()
-		delete(appender.queued, proposal.record.GetId())
+		delete(appender.pending, proposal.record.GetId())
 	}
 }
--- a/internal/keeper/fakelog_test.go
+++ b/internal/keeper/fakelog_test.go
@@ -10,18 +10,18 @@
 	"github.com/mastwinch/mastwinch/internal/infra"
 )
 
-var errDown = errors.New("the log is unavailable")
+var errUnavailable = errors.New("the log is unavailable")
 
 // fakeLog is an in-memory implementation of infra.Log.
 type fakeLog struct {
-	mu      sync.Mutex
-	first   uint64
-	entries [][]byte
-	down    bool
+	mu          sync.Mutex
+	first       uint64
+	entries     [][]byte
+	unavailable bool
 	// lostResponses is how many of the next appends take effect but return an
 	// error.
-	loseAnswers int
-	appends     int
+	lostResponses int
+	appends       int
 	// grown is closed, and replaced, when entries change.
 	grown chan struct{}
 }
@@ -34,14 +34,14 @@
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
 	fakelog.appends++
-	if fakelog.down {
-		return errDown
+	if fakelog.unavailable {
+		return errUnavailable
 	}
 	fakelog.entries = append(fakelog.entries, data)
 	close(fakelog.grown)
 	fakelog.grown = make(chan struct{})
-	if fakelog.loseAnswers > 0 {
-		fakelog.loseAnswers--
+	if fakelog.lostResponses > 0 {
+		fakelog.lostResponses--
 		return errors.New("response lost")
 	}
 	return nil
@@ -66,8 +66,8 @@
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
 	switch {
-	case fakelog.down:
-		return infra.Page{}, nil, errDown
+	case fakelog.unavailable:
+		return infra.Page{}, nil, errUnavailable
 	case from < fakelog.first:
 		return infra.Page{}, nil, &infra.ExpiredError{Wanted: from, First: fakelog.first}
 	}
@@ -86,10 +86,10 @@
 	fakelog.first = first
 }
 
-func (fakelog *fakeLog) setDown(unavailable bool) {
+func (fakelog *fakeLog) setUnavailable(unavailable bool) {
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
-	fakelog.down = unavailable
+	fakelog.unavailable = unavailable
 }
 
 func (fakelog *fakeLog) count() int {
@@ -100,7 +100,7 @@
 
 // truncate drops all but the oldest count entries, as a log does that is restored
 // from an old copy.
-func (fakelog *fakeLog) shorten(count int) {
+func (fakelog *fakeLog) truncate(count int) {
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
 	fakelog.entries = fakelog.entries[:count]
--- a/internal/keeper/follower.go
+++ b/internal/keeper/follower.go
@@ -43,28 +43,28 @@
 	// logTruncated is set when the log lost entries that the replica has applied. The log then reuses their offsets for
 	// other entries, so this keeper stops applying entries: otherwise its state would differ from that of a keeper
 	// that starts later and reads the new entries.
-	shorter bool
+	logTruncated bool
 }
 
 // errLogTruncated is returned when the log lost entries that the replica has
 // applied.
-var errShorter = errors.New("log lost entries that this keeper has applied; restart the process")
+var errLogTruncated = errors.New("log lost entries that this keeper has applied; restart the process")
 
 // run follows the log until ctx is done or the log is truncated.
 func (follower *follower) run(ctx context.Context) {
-	for ctx.Err() == nil && !follower.shorter {
+	for ctx.Err() == nil && !follower.logTruncated {
 		err := follower.read(ctx)
 		if expired, ok := asExpired(err); ok {
 			follower.logger.Info("log entries expired; restoring the state from a checkpoint", "wanted", expired.Wanted, "first", expired.First)
-			err = follower.rebase(ctx, expired.First)
+			err = follower.restore(ctx, expired.First)
 		}
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
 		follower.metrics.logUp.Set(0)
 		follower.logger.Warn("failed to follow the log", "next_offset", follower.hub.replica.Next(), "error", err)
-		if !follower.ready.Load() && !follower.shorter {
-			follower.takeFromPeer(ctx)
+		if !follower.ready.Load() && !follower.logTruncated {
+			follower.restoreFromPeer(ctx)
 		}
 		wait.For(ctx, readRetry)
 	}
@@ -79,9 +79,9 @@
 		return err
 	}
 	if page.Next < follower.hub.replica.Next() {
-		follower.shorter = true
+		follower.logTruncated = true
 		follower.ready.Store(false)
-		return errors.Wrapf(errShorter, "log ends at offset %d, applied up to %d", page.Next, follower.hub.replica.Next())
+		return errors.Wrapf(errLogTruncated, "log ends at offset %d, applied up to %d", page.Next, follower.hub.replica.Next())
 	}
 	follower.metrics.logUp.Set(1)
 	for _, entry := range page.Entries {
@@ -103,13 +103,13 @@
 
 // restore replaces the state with the newest checkpoint, or with that of a peer if
 // the checkpoint ends before first, the oldest offset that the log still holds.
-func (follower *follower) rebase(ctx context.Context, first uint64) error {
+func (follower *follower) restore(ctx context.Context, first uint64) error {
 	newest, err := follower.newestCheckpoint(ctx)
 	if err != nil {
 		return err
 	}
 	if newest.GetNextOffset() < first {
-		if follower.takeFromPeer(ctx) {
+		if follower.restoreFromPeer(ctx) {
 			return nil
 		}
 		return errors.Newf("no checkpoint reaches offset %d and no peer has a newer state", first)
@@ -148,9 +148,9 @@
 
 // restoreFromPeer replaces the state with that of the first peer whose state is
 // newer, and reports whether there was one.
-func (follower *follower) takeFromPeer(ctx context.Context) bool {
+func (follower *follower) restoreFromPeer(ctx context.Context) bool {
 	for _, address := range follower.peers() {
-		encoded, err := follower.ask(ctx, address)
+		encoded, err := follower.fetchState(ctx, address)
 		if err != nil {
 			follower.logger.Debug("failed to fetch the state of a peer", "peer", address, "error", err)
 			continue
@@ -167,7 +167,7 @@
 }
 
 // fetchState returns the full state of the keeper at address.
-func (follower *follower) ask(ctx context.Context, address string) (*wire.State, error) {
+func (follower *follower) fetchState(ctx context.Context, address string) (*wire.State, error) {
 	fetchCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	peer, err := link.Dial(fetchCtx, address, follower.credentials, follower.options)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -41,16 +41,16 @@
 
 // Keeper is a keeper process.
 type Keeper struct {
-	settings Settings
-	logger   *slog.Logger
-	registry *prometheus.Registry
-	metrics  *metrics
-	hub      *hub
-	follower *follower
-	appender *appender
-	watch    *watch
-	duties   *duties
-	listener *link.Listener
+	settings    Settings
+	logger      *slog.Logger
+	registry    *prometheus.Registry
+	metrics     *metrics
+	hub         *hub
+	follower    *follower
+	appender    *appender
+	watcher     *watcher
+	maintenance *maintenance
+	listener    *link.Listener
 }
 
 // New returns a keeper that listens for subscribers. Run serves them.
@@ -76,7 +76,7 @@
 		listener: listener,
 	}
 	keeper.appender = newAppender(platform.Log, replica, settings.Log, metrics, logger)
-	keeper.watch = &watch{
+	keeper.watcher = &watcher{
 		vmlist:   platform.VMList,
 		engines:  platform.Engines,
 		hub:      keeper.hub,
@@ -94,7 +94,7 @@
 		metrics:     metrics,
 		logger:      logger,
 	}
-	keeper.duties = &duties{
+	keeper.maintenance = &maintenance{
 		vm:          settings.VM,
 		settings:    settings,
 		replica:     replica,
@@ -113,11 +113,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	for _, run := range []func(context.Context){
 		keeper.appender.run,
-		keeper.duties.run,
-		keeper.duties.runCheckpoints,
+		keeper.maintenance.run,
+		keeper.maintenance.runCheckpoints,
 		keeper.follower.run,
-		keeper.watch.runFleet,
-		keeper.watch.runLoads,
+		keeper.watcher.runFleet,
+		keeper.watcher.runLoads,
 	} {
 		group.Go(func() error {
 			run(ctx)
@@ -133,7 +133,7 @@
 // vms returns the names of the system's VMs that do not drain, including this one.
 func (keeper *Keeper) vms() []string {
 	names := []string{keeper.settings.VM}
-	for _, server := range keeper.watch.servers(infra.KindSystem) {
+	for _, server := range keeper.watcher.servers(infra.KindSystem) {
 		if server.GetId() != keeper.settings.VM && !server.GetLeaving() {
 			names = append(names, server.GetId())
 		}
@@ -145,7 +145,7 @@
 // configured ones.
 func (keeper *Keeper) peers() []string {
 	var addresses []string
-	for _, server := range keeper.watch.servers(infra.KindSystem) {
+	for _, server := range keeper.watcher.servers(infra.KindSystem) {
 		if server.GetId() != keeper.settings.VM && server.GetKeeperAddress() != "" {
 			addresses = append(addresses, server.GetKeeperAddress())
 		}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -36,16 +36,16 @@
 }
 
 // fixture has the parts of a keeper that need no network, with fake logs.
-type bench struct {
+type fixture struct {
 	log         *fakeLog
 	checkpoints *fakeLog
 	hub         *hub
 	follower    *follower
 	appender    *appender
-	duties      *duties
+	maintenance *maintenance
 }
 
-func newBench(vm string, log, checkpoints *fakeLog) *bench {
+func newFixture(vm string, log, checkpoints *fakeLog) *fixture {
 	settings := DefaultSettings()
 	settings.VM = vm
 	metrics := newMetrics(prometheus.NewRegistry())
@@ -53,7 +53,7 @@
 	replica := replica.New()
 	hub := newHub(replica)
 	appender := newAppender(log, replica, settings.Log, metrics, logger)
-	return &bench{
+	return &fixture{
 		log:         log,
 		checkpoints: checkpoints,
 		hub:         hub,
@@ -62,25 +62,25 @@
 			log: log, checkpoints: checkpoints, hub: hub, peers: func() []string { return nil },
 			metrics: metrics, logger: logger,
 		},
-		duties: &duties{
+		maintenance: &maintenance{
 			vm: vm, settings: settings, replica: replica, appender: appender, checkpoints: checkpoints,
 			vms: func() []string { return []string{"vm1", "vm2"} }, metrics: metrics, logger: logger,
 		},
 	}
 }
 
-func (fixture *bench) queued() int {
+func (fixture *fixture) pending() int {
 	fixture.appender.mu.Lock()
 	defer fixture.appender.mu.Unlock()
-	return len(fixture.appender.queued)
+	return len(fixture.appender.pending)
 }
 
 // run runs the parts until the returned function is called, which waits for them.
-func (fixture *bench) run() func() {
+func (fixture *fixture) run() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for _, run := range []func(context.Context){
-		fixture.follower.run, fixture.appender.run, fixture.duties.run, fixture.duties.runCheckpoints,
+		fixture.follower.run, fixture.appender.run, fixture.maintenance.run, fixture.maintenance.runCheckpoints,
 	} {
 		all.Go(func() { run(ctx) })
 	}
@@ -100,14 +100,14 @@
 		maxAppends int
 	}{
 		"appended as one batch":    {maxAppends: 2},
-		"after one lost response":  {prepare: func(log *fakeLog) { log.loseAnswers = 1 }, maxAppends: 2},
-		"after a short outage":     {prepare: func(log *fakeLog) { log.down = true }, restore: func(log *fakeLog) { log.setDown(false) }, maxAppends: 12},
-		"after two lost responses": {prepare: func(log *fakeLog) { log.loseAnswers = 2 }, maxAppends: 3},
+		"after one lost response":  {prepare: func(log *fakeLog) { log.lostResponses = 1 }, maxAppends: 2},
+		"after a short outage":     {prepare: func(log *fakeLog) { log.unavailable = true }, restore: func(log *fakeLog) { log.setUnavailable(false) }, maxAppends: 12},
+		"after two lost responses": {prepare: func(log *fakeLog) { log.lostResponses = 2 }, maxAppends: 3},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fixture := newBench("vm1", newFakeLog(), newFakeLog())
+				fixture := newFixture("vm1", newFakeLog(), newFakeLog())
 				if c.prepare != nil {
 					c.prepare(fixture.log)
 				}
@@ -124,7 +124,7 @@
 				time.Sleep(2 * time.Second)
 				assert.Equal(t, sessions(fixture.hub.replica), 10)
 				assert.Assert(t, fixture.log.count() <= c.maxAppends, "%d appends", fixture.log.count())
-				assert.Equal(t, fixture.queued(), 0)
+				assert.Equal(t, fixture.pending(), 0)
 			})
 		})
 	}
@@ -133,13 +133,13 @@
 // A record must not be retried beyond its deadline while the log is unavailable.
 func TestAppenderStopsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fixture := newBench("vm1", newFakeLog(), newFakeLog())
-		fixture.log.setDown(true)
+		fixture := newFixture("vm1", newFakeLog(), newFakeLog())
+		fixture.log.setUnavailable(true)
 		stop := fixture.run()
 		defer stop()
 		assert.NilError(t, fixture.appender.propose(record(1)))
 		time.Sleep(time.Minute)
-		assert.Equal(t, fixture.queued(), 0)
+		assert.Equal(t, fixture.pending(), 0)
 	})
 }
 
@@ -158,7 +158,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				log, checkpoints := newFakeLog(), newFakeLog()
 				for _, vm := range c.vms {
-					fixture := newBench(vm, log, checkpoints)
+					fixture := newFixture(vm, log, checkpoints)
 					if vm == c.vms[0] {
 						assert.NilError(t, fixture.appender.propose(record(1)))
 					}
@@ -178,19 +178,19 @@
 func TestFollowerStartsAtCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, checkpoints := newFakeLog(), newFakeLog()
-		first := newBench("vm1", log, checkpoints)
+		first := newFixture("vm1", log, checkpoints)
 		stop := first.run()
 		for i := range 5 {
 			assert.NilError(t, first.appender.propose(record(i)))
 			time.Sleep(time.Second)
 		}
-		first.duties.writeCheckpoint(t.Context())
+		first.maintenance.writeCheckpoint(t.Context())
 		assert.NilError(t, first.appender.propose(record(5)))
 		time.Sleep(time.Second)
 		stop()
 		log.expire(5)
 
-		second := newBench("vm2", log, checkpoints)
+		second := newFixture("vm2", log, checkpoints)
 		defer second.run()()
 		time.Sleep(time.Second)
 		assert.Equal(t, sessions(second.hub.replica), 6)
@@ -210,7 +210,7 @@
 			assert.NilError(t, log.Append(t.Context(), data))
 		}
 		log.expire(2)
-		fixture := newBench("vm1", log, newFakeLog())
+		fixture := newFixture("vm1", log, newFakeLog())
 		defer fixture.run()()
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, !fixture.follower.ready.Load())
@@ -234,12 +234,12 @@
 				for number := range 5 {
 					add(number)
 				}
-				fixture := newBench("vm1", log, newFakeLog())
+				fixture := newFixture("vm1", log, newFakeLog())
 				defer fixture.run()()
 				time.Sleep(2 * time.Second)
 				assert.Assert(t, fixture.follower.ready.Load())
 				assert.Equal(t, sessions(fixture.hub.replica), 5)
-				log.shorten(3)
+				log.truncate(3)
 				time.Sleep(2 * time.Second)
 				for number := range appended {
 					add(100 + number)
@@ -274,7 +274,7 @@
 // noVMs is a VM list that is unavailable.
 type noVMs struct{}
 
-func (noVMs) List(context.Context) ([]infra.VM, error) { return nil, errDown }
+func (noVMs) List(context.Context) ([]infra.VM, error) { return nil, errUnavailable }
 
 // freePort returns an address with a TCP port that is not in use.
 func freePort(t *testing.T) string {
@@ -320,7 +320,7 @@
 		}
 		return poll.Continue("record not read back yet")
 	})
-	log.setDown(true)
+	log.setUnavailable(true)
 	second := startKeeper(t, "vm2", log, first.listener.Address())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if second.follower.ready.Load() {
--- a/internal/keeper/maintenance.go
+++ b/internal/keeper/maintenance.go
@@ -18,8 +18,8 @@
 
 // Rendezvous keys that rank the keepers for each kind of maintenance.
 const (
-	checkpointDuty = "checkpoint"
-	horizonDuty    = "horizon"
+	checkpointKey = "checkpoint"
+	horizonKey    = "horizon"
 )
 
 // horizonStep is the minimum amount by which the horizon is advanced.
@@ -27,14 +27,14 @@
 
 // reasonNoOutcome is the reason recorded for attempts that a keeper fails because
 // their owner recorded no outcome in time.
-const reasonOwnerSilent = "owner gave no outcome in time"
+const reasonNoOutcome = "owner gave no outcome in time"
 
 // maintenance is the work that one keeper does on behalf of all: it writes
 // checkpoints, advances the horizon, which is the oldest creation time of keys that
 // are kept, and fails attempts whose owner recorded no outcome. The keeper that
 // rendezvous hashing ranks first acts at once, and each lower rank waits longer.
 // Doing the same work twice is harmless.
-type duties struct {
+type maintenance struct {
 	vm          string
 	settings    Settings
 	replica     *replica.Replica
@@ -49,17 +49,17 @@
 	running map[string]time.Time
 	// horizonDueSince is when the horizon was first seen to lag by horizonStep or
 	// more, or zero if it does not.
-	horizonDue time.Time
+	horizonDueSince time.Time
 }
 
 // run fails overdue attempts and advances the horizon until ctx is done.
-func (maintenance *duties) run(ctx context.Context) {
-	ticker := time.NewTicker(maintenance.settings.Intervals.Duty)
+func (maintenance *maintenance) run(ctx context.Context) {
+	ticker := time.NewTicker(maintenance.settings.Intervals.Maintenance)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			maintenance.settleSilent(now)
+			maintenance.failOverdue(now)
 			maintenance.advanceHorizon(now)
 		case <-ctx.Done():
 			return
@@ -69,14 +69,14 @@
 
 // backupDelay is how long this keeper waits for keepers of higher rank to do the
 // work with that key.
-func (maintenance *duties) delay(key string) time.Duration {
+func (maintenance *maintenance) backupDelay(key string) time.Duration {
 	rank := rendezvous.Rank(key, maintenance.vm, maintenance.vms())
-	return time.Duration(rank) * maintenance.settings.Intervals.Duty
+	return time.Duration(rank) * maintenance.settings.Intervals.Maintenance
 }
 
 // failOverdue fails attempts that have run for longer than their timeout plus
 // SettleAfter. Their owner may have dispatched them, so they may have run.
-func (maintenance *duties) settleSilent(now time.Time) {
+func (maintenance *maintenance) failOverdue(now time.Time) {
 	var running []ledger.Attempt
 	maintenance.replica.View(func(state *state.State) { running = state.Ledger.Running() })
 	firstSeen := make(map[string]time.Time, len(running))
@@ -87,25 +87,25 @@
 		}
 		firstSeen[attempt.RequestID] = since
 		allowed := attempt.Time + maintenance.settings.Keys.SettleAfter
-		if now.Sub(since) < allowed+maintenance.delay(attempt.RequestID) {
+		if now.Sub(since) < allowed+maintenance.backupDelay(attempt.RequestID) {
 			continue
 		}
-		maintenance.settle(attempt)
+		maintenance.fail(attempt)
 	}
 	maintenance.running = firstSeen
 }
 
 // fail proposes a record that ends the attempt as failed.
-func (maintenance *duties) settle(attempt ledger.Attempt) {
+func (maintenance *maintenance) fail(attempt ledger.Attempt) {
 	maintenance.logger.Info("attempt has no outcome in time; recording that it failed", "request_id", attempt.RequestID, "owner", attempt.Owner,
-		"reason", reasonOwnerSilent)
+		"reason", reasonNoOutcome)
 	err := maintenance.appender.propose(&wire.Record{
 		Id: "settle/" + attempt.RequestID,
 		Body: &wire.Record_Finish{Finish: &wire.Finish{
 			Key:       attempt.Key.Wire(),
 			RequestId: attempt.RequestID,
 			Outcome:   wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN,
-			Reason:    reasonOwnerSilent,
+			Reason:    reasonNoOutcome,
 		}},
 	})
 	if err != nil {
@@ -116,7 +116,7 @@
 }
 
 // advanceHorizon proposes to drop keys older than the window.
-func (maintenance *duties) advanceHorizon(now time.Time) {
+func (maintenance *maintenance) advanceHorizon(now time.Time) {
 	var horizon uint64
 	var keys int
 	maintenance.replica.View(func(state *state.State) {
@@ -126,16 +126,16 @@
 	target := now.Add(-maintenance.settings.Keys.Window).UnixMilli()
 	lag := target - int64(horizon)
 	if keys == 0 || lag < horizonStep.Milliseconds() {
-		maintenance.horizonDue = time.Time{}
+		maintenance.horizonDueSince = time.Time{}
 		return
 	}
-	if maintenance.horizonDue.IsZero() {
-		maintenance.horizonDue = now
+	if maintenance.horizonDueSince.IsZero() {
+		maintenance.horizonDueSince = now
 	}
-	if now.Sub(maintenance.horizonDue) < maintenance.delay(horizonDuty) {
+	if now.Sub(maintenance.horizonDueSince) < maintenance.backupDelay(horizonKey) {
 		return
 	}
-	maintenance.horizonDue = time.Time{}
+	maintenance.horizonDueSince = time.Time{}
 	err := maintenance.appender.propose(&wire.Record{
 		Id:   "horizon/" + uuid.NewString(),
 		Body: &wire.Record_AdvanceHorizon{AdvanceHorizon: &wire.AdvanceHorizon{KeyTimeMs: uint64(target)}},
@@ -147,17 +147,17 @@
 
 // runCheckpoints reads the stream of checkpoints, and writes a checkpoint when the
 // newest one is too old, until ctx is done.
-func (maintenance *duties) runCheckpoints(ctx context.Context) {
+func (maintenance *maintenance) runCheckpoints(ctx context.Context) {
 	reader := newCheckpointReader()
 	next := uint64(0)
 	lastSeen := time.Now()
 	for ctx.Err() == nil {
-		due := lastSeen.Add(maintenance.settings.Log.CheckpointInterval + maintenance.delay(checkpointDuty))
+		due := lastSeen.Add(maintenance.settings.Log.CheckpointInterval + maintenance.backupDelay(checkpointKey))
 		if time.Now().After(due) && maintenance.replica.Next() > 0 {
 			maintenance.writeCheckpoint(ctx)
 			lastSeen = time.Now()
 		}
-		readCtx, cancel := context.WithTimeout(ctx, maintenance.settings.Intervals.Duty)
+		readCtx, cancel := context.WithTimeout(ctx, maintenance.settings.Intervals.Maintenance)
 		page, err := maintenance.checkpoints.Read(readCtx, next)
 		cancel()
 		if expired, ok := asExpired(err); ok {
@@ -179,7 +179,7 @@
 
 // writeCheckpoint appends a checkpoint of the replica's state. It logs errors and
 // gives up on the checkpoint if a part cannot be appended.
-func (maintenance *duties) writeCheckpoint(ctx context.Context) {
+func (maintenance *maintenance) writeCheckpoint(ctx context.Context) {
 	entries, err := splitCheckpoint(maintenance.replica.Encode())
 	if err != nil {
 		maintenance.logger.Error("failed to encode the checkpoint", "error", err)
@@ -198,7 +198,7 @@
 // appendPart retries until the log acknowledges the part of a checkpoint or the
 // checkpoint interval is over, and reports whether it was acknowledged. Duplicate
 // parts are harmless, since readers ignore them.
-func (maintenance *duties) appendPart(ctx context.Context, entry []byte) bool {
+func (maintenance *maintenance) appendPart(ctx context.Context, entry []byte) bool {
 	deadline := time.Now().Add(maintenance.settings.Log.CheckpointInterval)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		appendCtx, cancel := context.WithTimeout(ctx, maintenance.settings.Log.AppendTimeout)
--- a/internal/keeper/settings.go
+++ b/internal/keeper/settings.go
@@ -49,7 +49,7 @@
 	Load   time.Duration `yaml:"load" validate:"min=20ms,max=1m"`
 	// Maintenance is how often a keeper checks for maintenance work, and how much
 	// longer each rank of backup keepers waits before it does the work.
-	Duty time.Duration `yaml:"duty" validate:"min=100ms,max=10m"`
+	Maintenance time.Duration `yaml:"duty" validate:"min=100ms,max=10m"`
 }
 
 // KeySettings configure how long idempotency keys are kept.
@@ -75,9 +75,9 @@
 			CheckpointInterval: 2 * time.Minute,
 		},
 		Intervals: IntervalSettings{
-			VMList: time.Second,
-			Load:   500 * time.Millisecond,
-			Duty:   2 * time.Second,
+			VMList:      time.Second,
+			Load:        500 * time.Millisecond,
+			Maintenance: 2 * time.Second,
 		},
 		Keys: KeySettings{
 			Window:      2 * time.Hour,
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -25,7 +25,7 @@
 
 // watcher polls the VM list and the load of engines and publishes both through the
 // hub. While either cannot be read, subscribers keep the last values.
-type watch struct {
+type watcher struct {
 	vmlist   infra.VMList
 	engines  backend.Engine
 	hub      *hub
@@ -38,7 +38,7 @@
 }
 
 // servers returns the servers of that kind in the VM list as last read.
-func (watcher *watch) servers(kind string) []*wire.Server {
+func (watcher *watcher) servers(kind string) []*wire.Server {
 	var matching []*wire.Server
 	for _, server := range watcher.fleet.Load().GetServers() {
 		if server.GetKind() == kind {
@@ -49,7 +49,7 @@
 }
 
 // runFleet polls the VM list until ctx is done.
-func (watcher *watch) runFleet(ctx context.Context) {
+func (watcher *watcher) runFleet(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := watcher.readFleet(ctx)
 		if err != nil && ctx.Err() == nil {
@@ -61,7 +61,7 @@
 }
 
 // readFleet reads the VM list once and publishes it if it has changed.
-func (watcher *watch) readFleet(ctx context.Context) error {
+func (watcher *watcher) readFleet(ctx context.Context) error {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	vms, err := watcher.vmlist.List(readCtx)
@@ -100,7 +100,7 @@
 }
 
 // runLoads polls the load of engines until ctx is done.
-func (watcher *watch) runLoads(ctx context.Context) {
+func (watcher *watcher) runLoads(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
 		watcher.hub.setLoads(watcher.readLoads(ctx))
@@ -109,7 +109,7 @@
 }
 
 // readLoads returns the loads of all engines that report theirs in time.
-func (watcher *watch) readLoads(ctx context.Context) *wire.Loads {
+func (watcher *watcher) readLoads(ctx context.Context) *wire.Loads {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	loads := &wire.Loads{}
@@ -136,16 +136,16 @@
 func newLoad(id string, load backend.Load) *wire.Load {
 	return &wire.Load{
 		ServerId:            id,
-		FreeTokens:          count(load.FreeTokens),
-		QueuedPrefillTokens: count(load.QueuedPrefillTokens),
-		QueuedLongTokens:    count(load.QueuedLongTokens),
-		Running:             count(load.Running),
-		Waiting:             count(load.Waiting),
+		FreeTokens:          nonNegative(load.FreeTokens),
+		QueuedPrefillTokens: nonNegative(load.QueuedPrefillTokens),
+		QueuedLongTokens:    nonNegative(load.QueuedLongTokens),
+		Running:             nonNegative(load.Running),
+		Waiting:             nonNegative(load.Waiting),
 		Leaving:             load.Leaving,
 	}
 }
 
-// count converts a number reported by an engine, where a negative one counts as zero.
-func count(value int) uint64 {
+// nonNegative converts a number reported by an engine, where a negative one counts as zero.
+func nonNegative(value int) uint64 {
 	return uint64(max(0, value))
 }
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -23,14 +23,14 @@
 
 // Delays and timeouts of the client.
 const (
-	reconnectWait = 100 * time.Millisecond
-	dialTimeout   = 2 * time.Second
+	reconnectDelay = 100 * time.Millisecond
+	dialTimeout    = 2 * time.Second
 	// receiveTimeout is how long the client waits for a frame before it drops the
 	// connection. Keepers send several heartbeats within it.
-	silenceLimit = time.Second
+	receiveTimeout = time.Second
 	// proposeRetryInterval is how long the client waits for the verdict before it
 	// proposes the record again, possibly through another keeper.
-	proposeAgain = time.Second
+	proposeRetryInterval = time.Second
 )
 
 // ErrUnsettled is returned when no verdict on a record was read back in time. The
@@ -93,7 +93,7 @@
 			}
 			client.logger.Warn("connection to keeper failed; trying the next one", "keeper", address, "error", err)
 		}
-		wait.For(ctx, reconnectWait)
+		wait.For(ctx, reconnectDelay)
 	}
 }
 
@@ -118,7 +118,7 @@
 	defer stop()
 	for {
 		connected := client.send(record)
-		timer := time.NewTimer(proposeAgain)
+		timer := time.NewTimer(proposeRetryInterval)
 		select {
 		case verdict := <-verdicts:
 			timer.Stop()
@@ -189,11 +189,11 @@
 	defer client.setPeer(nil)
 	for {
 		frame := &wire.ServerFrame{}
-		err = peer.ReceiveWithin(silenceLimit, frame)
+		err = peer.ReceiveWithin(receiveTimeout, frame)
 		if err != nil {
 			return err
 		}
-		err = client.take(frame)
+		err = client.handleFrame(frame)
 		if err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 }
 
 // handleFrame applies a frame to the replica or passes it to the sink.
-func (client *Client) take(frame *wire.ServerFrame) error {
+func (client *Client) handleFrame(frame *wire.ServerFrame) error {
 	switch body := frame.GetBody().(type) {
 	case *wire.ServerFrame_State:
 		_, err := client.replica.Replace(body.State)
--- a/internal/ledger/attempt.go
+++ b/internal/ledger/attempt.go
@@ -37,7 +37,7 @@
 
 // Retryable reports whether the key may be granted to another request, because it
 // is certain that nothing ran.
-func (attempt Attempt) Released() bool {
+func (attempt Attempt) Retryable() bool {
 	return attempt.Outcome == wire.Outcome_OUTCOME_FAILED_NOT_RUN
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -35,7 +35,7 @@
 }
 
 // GetByRequest returns the attempt of the request with that ID, if there is one.
-func (ledger *Ledger) OfRequest(requestID string) (Attempt, bool) {
+func (ledger *Ledger) GetByRequest(requestID string) (Attempt, bool) {
 	key, ok := ledger.byRequest[requestID]
 	if !ok {
 		return Attempt{}, false
@@ -80,7 +80,7 @@
 		return fold.Accept(current.Version) // a duplicate of the granted record
 	case exists && current.ContentDigest != begin.GetContentDigest():
 		return fold.Refuse(fold.ReasonContentDiffers)
-	case exists && !current.Released():
+	case exists && !current.Retryable():
 		return fold.Refuse(fold.ReasonConflict)
 	case uint64(current.Version) != begin.GetExpectedVersion():
 		return fold.Refuse(fold.ReasonConflict)
@@ -107,7 +107,7 @@
 	if !exists || current.RequestID != finish.GetRequestId() {
 		return fold.Refuse(fold.ReasonNotFound)
 	}
-	if !current.Running() && !provesCompletion(current, finish) {
+	if !current.Running() && !confirmsCompletion(current, finish) {
 		return fold.Refuse(fold.ReasonStale)
 	}
 	ledger.put(current.WithOutcome(finish, version))
@@ -121,7 +121,7 @@
 }
 
 // confirmsCompletion reports whether finish completes an attempt that may have run.
-func provesCompletion(current Attempt, finish *wire.Finish) bool {
+func confirmsCompletion(current Attempt, finish *wire.Finish) bool {
 	return current.Outcome == wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN &&
 		finish.GetOutcome() == wire.Outcome_OUTCOME_COMPLETED
 }
--- a/internal/link/credentials.go
+++ b/internal/link/credentials.go
@@ -20,8 +20,8 @@
 	keyInfo      = "mastwinch link key"
 	serverName   = "mastwinch"
 	// Validity of the certificate, relative to its creation.
-	certificateIn = -24 * time.Hour
-	certificateTo = 10 * 365 * 24 * time.Hour
+	certificateNotBefore = -24 * time.Hour
+	certificateNotAfter  = 10 * 365 * 24 * time.Hour
 )
 
 // Credentials authenticate a process as part of the system.
@@ -46,8 +46,8 @@
 		SerialNumber: big.NewInt(1),
 		Subject:      pkix.Name{CommonName: serverName},
 		DNSNames:     []string{serverName},
-		NotBefore:    time.Now().Add(certificateIn),
-		NotAfter:     time.Now().Add(certificateTo),
+		NotBefore:    time.Now().Add(certificateNotBefore),
+		NotAfter:     time.Now().Add(certificateNotAfter),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
--- a/internal/pool/cold_start_test.go
+++ b/internal/pool/cold_start_test.go
@@ -14,7 +14,7 @@
 // coldEntry returns the entry of server s1 with two more seconds of cold start.
 func coldEntry() follower.Change[directory.Entry] {
 	change := listedEntry("s1")
-	change.Value.ColdLeft = 2 * time.Second
+	change.Value.ColdRemaining = 2 * time.Second
 	return change
 }
 
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -89,24 +89,24 @@
 	known := pool.servers[entry.ID]
 	if known == nil {
 		added := &server{entry: entry}
-		if entry.Leaving {
+		if entry.Drains {
 			added.drainingReportedBy = listSource
 		}
 		pool.servers[entry.ID] = added
-		pool.setColdStart(added, entry.ColdLeft)
+		pool.setColdStart(added, entry.ColdRemaining)
 		pool.logger.Debug("server listed", "server", entry.ID, "service", entry.Service,
-			"address", entry.Address, "leaving", entry.Leaving)
+			"address", entry.Address, "leaving", entry.Drains)
 		return
 	}
-	if fresh || entry.ColdLeft != known.entry.ColdLeft {
-		pool.setColdStart(known, entry.ColdLeft)
+	if fresh || entry.ColdRemaining != known.entry.ColdRemaining {
+		pool.setColdStart(known, entry.ColdRemaining)
 	}
-	if entry.Leaving && !known.entry.Leaving {
+	if entry.Drains && !known.entry.Drains {
 		known.drainingReportedBy = listSource
 		pool.logger.Info("server is draining", "server", entry.ID, "told_by", listSource)
 	}
 	// A draining server never accepts new requests again.
-	entry.Leaving = entry.Leaving || known.entry.Leaving
+	entry.Drains = entry.Drains || known.entry.Drains
 	known.entry = entry
 	known.missingSince = time.Time{}
 	known.entryInvalid = false
--- a/internal/relay/buffer.go
+++ b/internal/relay/buffer.go
@@ -73,10 +73,10 @@
 	// outcome is nil until the request has ended, and then does not change.
 	outcome *request.Outcome
 	// endedAt is when the request ended.
-	ended   time.Time
+	endedAt time.Time
 	readers int
 	// detachedAt is when the last reader detached, or when the buffer was created.
-	detached time.Time
+	detachedAt time.Time
 	// changed is closed, and replaced, when there are new tokens or started or outcome
 	// changes.
 	changed chan struct{}
@@ -85,18 +85,18 @@
 // NewBuffer returns an empty buffer whose first token will have the index base.
 func NewBuffer(base int, now time.Time) *Buffer {
 	return &Buffer{
-		Base:     base,
-		detached: now,
-		changed:  make(chan struct{}),
+		Base:       base,
+		detachedAt: now,
+		changed:    make(chan struct{}),
 	}
 }
 
 // MarkStarted records that a backend server has accepted the request.
-func (buffer *Buffer) Start() {
+func (buffer *Buffer) MarkStarted() {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
 	buffer.started = true
-	buffer.signal()
+	buffer.notifyChanged()
 }
 
 // Add adds the token if it is the next one and the request has not ended, and
@@ -108,7 +108,7 @@
 		return false
 	}
 	buffer.tokens = append(buffer.tokens, token)
-	buffer.signal()
+	buffer.notifyChanged()
 	return true
 }
 
@@ -120,8 +120,8 @@
 		return
 	}
 	buffer.outcome = &outcome
-	buffer.ended = now
-	buffer.signal()
+	buffer.endedAt = now
+	buffer.notifyChanged()
 }
 
 // Next returns the index of the next token.
@@ -143,7 +143,7 @@
 }
 
 // ViewFrom returns the content from the token with index from on.
-func (buffer *Buffer) From(from int) View {
+func (buffer *Buffer) ViewFrom(from int) View {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
 	start := min(max(0, from-buffer.Base), len(buffer.tokens))
@@ -165,26 +165,26 @@
 		buffer.mu.Lock()
 		defer buffer.mu.Unlock()
 		buffer.readers--
-		buffer.detached = now()
+		buffer.detachedAt = now()
 	})
 }
 
 // UnreadSince reports whether there has been no reader since that time.
-func (buffer *Buffer) Unread(since time.Time) bool {
+func (buffer *Buffer) UnreadSince(since time.Time) bool {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.readers == 0 && buffer.detached.Before(since)
+	return buffer.readers == 0 && buffer.detachedAt.Before(since)
 }
 
 // EndedBefore reports whether the request has ended, and did so before that time.
 func (buffer *Buffer) EndedBefore(limit time.Time) bool {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.outcome != nil && buffer.ended.Before(limit)
+	return buffer.outcome != nil && buffer.endedAt.Before(limit)
 }
 
 // notifyChanged closes and replaces the channel of changes. mu must be held.
-func (buffer *Buffer) signal() {
+func (buffer *Buffer) notifyChanged() {
 	close(buffer.changed)
 	buffer.changed = make(chan struct{})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -18,7 +18,7 @@
 	// waiters has the channels that receive the verdict on a record, by record ID.
 	waiters map[string][]chan fold.Verdict
 	// changed is closed, and replaced, when the state changes.
-	moved chan struct{}
+	changed chan struct{}
 }
 
 // New returns a replica of the empty state, before the first log entry.
@@ -26,7 +26,7 @@
 	return &Replica{
 		state:   state.New(),
 		waiters: make(map[string][]chan fold.Verdict),
-		moved:   make(chan struct{}),
+		changed: make(chan struct{}),
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 		delete(replica.waiters, result.RecordID)
 	}
-	replica.signal()
+	replica.notifyChanged()
 	return nil
 }
 
@@ -64,7 +64,7 @@
 		return false, nil
 	}
 	replica.state = decoded
-	replica.signal()
+	replica.notifyChanged()
 	return true, nil
 }
 
@@ -91,10 +91,10 @@
 }
 
 // Changed returns a channel that is closed at the next change of the state.
-func (replica *Replica) Moved() <-chan struct{} {
+func (replica *Replica) Changed() <-chan struct{} {
 	replica.mu.RLock()
 	defer replica.mu.RUnlock()
-	return replica.moved
+	return replica.changed
 }
 
 // Await returns a channel that receives the verdict on the record when the record is
@@ -104,11 +104,11 @@
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	replica.waiters[recordID] = append(replica.waiters[recordID], waiter)
-	return waiter, func() { replica.forget(recordID, waiter) }
+	return waiter, func() { replica.removeWaiter(recordID, waiter) }
 }
 
 // removeWaiter removes one waiter for the verdict on a record.
-func (replica *Replica) forget(recordID string, waiter chan fold.Verdict) {
+func (replica *Replica) removeWaiter(recordID string, waiter chan fold.Verdict) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	var others []chan fold.Verdict
@@ -125,7 +125,7 @@
 }
 
 // notifyChanged closes and replaces the channel of changes. mu must be held.
-func (replica *Replica) signal() {
-	close(replica.moved)
-	replica.moved = make(chan struct{})
+func (replica *Replica) notifyChanged() {
+	close(replica.changed)
+	replica.changed = make(chan struct{})
 }
--- a/internal/routing/leastoutstanding.go
+++ b/internal/routing/leastoutstanding.go
@@ -10,12 +10,12 @@
 
 // Decide implements Policy.
 func (LeastOutstanding) Decide(snapshot Snapshot, request Request, random *rand.Rand) Decision {
-	servers := usable(snapshot, &request)
+	servers := eligibleServers(snapshot, &request)
 	if len(servers) == 0 {
 		return refuse(RefusalNoServer, "no server has the model")
 	}
-	if !fitsOne(servers, request) {
-		return groupFor(servers, request)
+	if !fitsSingleServer(servers, request) {
+		return chooseGroup(servers, request)
 	}
 	start := random.IntN(len(servers))
 	best := servers[start]
--- a/internal/routing/lengthaware.go
+++ b/internal/routing/lengthaware.go
@@ -14,7 +14,7 @@
 	LongTokens int `yaml:"long_tokens" validate:"min=1"`
 	// MaxLongFraction is the maximum fraction (0 to 1) of the engines that long prompts
 	// may use, except for prompts that need the memory of several engines.
-	LongShare float64 `yaml:"long_share" validate:"gt=0,max=1"`
+	MaxLongFraction float64 `yaml:"long_share" validate:"gt=0,max=1"`
 	// LongBacklog is the number of queued tokens of long prompts, per engine that they
 	// use, above which they may use one more engine.
 	LongBacklog int `yaml:"long_backlog" validate:"min=1"`
@@ -23,7 +23,7 @@
 	// LongSetMargin is how many engines, beyond those in use for long prompts, short
 	// prompts avoid, so that these engines have no short prompts left when the set for
 	// long prompts grows.
-	QuietMargin int `yaml:"quiet_margin" validate:"min=0"`
+	LongSetMargin int `yaml:"quiet_margin" validate:"min=0"`
 	// StepTokens is how long a short prompt waits for the step in progress of an engine
 	// that prefills long prompts, expressed in prompt tokens.
 	StepTokens int `yaml:"step_tokens" validate:"min=0"`
@@ -37,10 +37,10 @@
 func DefaultLengthAwareSettings() LengthAwareSettings {
 	return LengthAwareSettings{
 		LongTokens:             16 << 10,
-		LongShare:              0.6,
+		MaxLongFraction:        0.6,
 		LongBacklog:            100_000,
 		Choices:                4,
-		QuietMargin:            2,
+		LongSetMargin:          2,
 		StepTokens:             8 << 10,
 		PrefillTokensPerSecond: 200_000,
 	}
@@ -48,7 +48,7 @@
 
 // maxPrefillFraction is the fraction of a request's remaining time within which its
 // prefill must be expected to end for the request to be admitted.
-const prefillPart = 0.7
+const maxPrefillFraction = 0.7
 
 // samplesPerChoice limits how many engines are sampled for each choice, since sampled
 // engines may be ineligible.
@@ -71,29 +71,29 @@
 // Decide implements Policy.
 func (lengthaware LengthAware) Decide(snapshot Snapshot, request Request, random *rand.Rand) Decision {
 	if request.Tokens < lengthaware.settings.LongTokens {
-		if best := lengthaware.short(snapshot, &request, random); best != nil {
-			return lengthaware.chooseShort(best, &request)
+		if best := lengthaware.sampleForShort(snapshot, &request, random); best != nil {
+			return lengthaware.admitShort(best, &request)
 		}
 	}
-	servers := usable(snapshot, &request)
+	servers := eligibleServers(snapshot, &request)
 	switch {
 	case len(servers) == 0:
 		return refuse(RefusalNoServer, "no server has the model")
-	case !fitsOne(servers, request):
-		return groupFor(servers, request)
+	case !fitsSingleServer(servers, request):
+		return chooseGroup(servers, request)
 	case request.Tokens < lengthaware.settings.LongTokens:
 		best := slices.MinFunc(servers, func(a, b Server) int { return lengthaware.compareForShort(&a, &b, &request) })
-		return lengthaware.chooseShort(&best, &request)
+		return lengthaware.admitShort(&best, &request)
 	default:
-		return lengthaware.long(servers, request, snapshot.LongBacklog)
+		return lengthaware.chooseLong(servers, request, snapshot.LongBacklog)
 	}
 }
 
 // admitShort chooses the server for a short prompt, unless the prompt cannot be
 // prefilled in time.
-func (lengthaware LengthAware) chooseShort(best *Server, request *Request) Decision {
-	if !lengthaware.inTime(best, best.QueuedShort, request) {
-		return refuse(RefusalNoTime, fmt.Sprintf("%d tokens of short prompts are queued", best.QueuedShort))
+func (lengthaware LengthAware) admitShort(best *Server, request *Request) Decision {
+	if !lengthaware.meetsDeadline(best, best.QueuedShort, request) {
+		return refuse(RefusalDeadline, fmt.Sprintf("%d tokens of short prompts are queued", best.QueuedShort))
 	}
 	if best.QueuedLong > 0 {
 		return choose(*best, "shortest wait among sampled engines")
@@ -104,16 +104,16 @@
 // sampleForShort returns the best of a few engines that long prompts do not use,
 // unless the best of a few among all engines is better. It returns nil if it sampled
 // no eligible engine with enough memory; the caller then considers all engines.
-func (lengthaware LengthAware) short(snapshot Snapshot, request *Request, random *rand.Rand) *Server {
-	firstRank := lengthaware.firstQuietRank(snapshot)
+func (lengthaware LengthAware) sampleForShort(snapshot Snapshot, request *Request, random *rand.Rand) *Server {
+	firstRank := lengthaware.firstShortRank(snapshot)
 	best := lengthaware.sample(snapshot, request, random, firstRank)
-	if best == nil || lengthaware.waitForShort(best) > lengthaware.settings.StepTokens {
+	if best == nil || lengthaware.shortWaitTokens(best) > lengthaware.settings.StepTokens {
 		other := lengthaware.sample(snapshot, request, random, 0)
 		if best == nil || other != nil && lengthaware.compareForShort(other, best, request) < 0 {
 			best = other
 		}
 	}
-	if best == nil || best.Memory*groupFill/percent < request.Need() {
+	if best == nil || best.Memory*groupMemoryPercent/percent < request.RequiredMemory() {
 		return nil
 	}
 	return best
@@ -148,12 +148,12 @@
 	if fits(a, request) != fits(b, request) {
 		return compareTrueFirst(fits(a, request), fits(b, request))
 	}
-	return cmp.Compare(lengthaware.waitForShort(a), lengthaware.waitForShort(b))
+	return cmp.Compare(lengthaware.shortWaitTokens(a), lengthaware.shortWaitTokens(b))
 }
 
 // shortWaitTokens estimates how long a short prompt waits, in prompt tokens. Engines
 // prioritise it over long prompts, so it waits for at most one step of those.
-func (lengthaware LengthAware) waitForShort(server *Server) int {
+func (lengthaware LengthAware) shortWaitTokens(server *Server) int {
 	wait := server.QueuedShort + server.Outstanding
 	if server.QueuedLong > 0 {
 		wait += lengthaware.settings.StepTokens
@@ -163,10 +163,10 @@
 
 // chooseLong chooses, from the set for long prompts, the engine with the fewest queued
 // tokens of long prompts, preferring engines with enough free memory.
-func (lengthaware LengthAware) long(servers []Server, request Request, backlog int) Decision {
+func (lengthaware LengthAware) chooseLong(servers []Server, request Request, backlog int) Decision {
 	set := slices.SortedFunc(slices.Values(servers), func(a, b Server) int {
 		return cmp.Compare(a.LongRank, b.LongRank)
-	})[:lengthaware.setSize(len(servers), backlog)]
+	})[:lengthaware.longSetSize(len(servers), backlog)]
 	best := slices.MinFunc(set, func(a, b Server) int {
 		return cmp.Or(
 			compareTrueFirst(fits(&a, &request), fits(&b, &request)),
@@ -174,8 +174,8 @@
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	if !lengthaware.inTime(&best, best.QueuedLong, &request) {
-		return refuse(RefusalNoTime, fmt.Sprintf("%d tokens of long prompts are queued", best.QueuedLong))
+	if !lengthaware.meetsDeadline(&best, best.QueuedLong, &request) {
+		return refuse(RefusalDeadline, fmt.Sprintf("%d tokens of long prompts are queued", best.QueuedLong))
 	}
 	decision := choose(best, fmt.Sprintf("fewest queued tokens of long prompts among %d engines", len(set)))
 	decision.Long = true
@@ -184,8 +184,8 @@
 
 // longSetSize returns how many engines long prompts may use: as many as their backlog
 // needs. It is the same at every entry process that sees the same backlog.
-func (lengthaware LengthAware) setSize(servers, backlog int) int {
-	limit := max(1, int(float64(servers)*lengthaware.settings.LongShare))
+func (lengthaware LengthAware) longSetSize(servers, backlog int) int {
+	limit := max(1, int(float64(servers)*lengthaware.settings.MaxLongFraction))
 	return min(limit, 1+backlog/lengthaware.settings.LongBacklog)
 }
 
@@ -193,15 +193,15 @@
 // which are at least half of all engines. Ranks are used in addition to load reports
 // because a long prompt that another entry process has just sent is reported late, but
 // is always on an engine of the set for long prompts.
-func (lengthaware LengthAware) firstQuietRank(snapshot Snapshot) int {
+func (lengthaware LengthAware) firstShortRank(snapshot Snapshot) int {
 	servers := len(snapshot.Servers)
-	size := lengthaware.setSize(servers, snapshot.LongBacklog) + lengthaware.settings.QuietMargin
+	size := lengthaware.longSetSize(servers, snapshot.LongBacklog) + lengthaware.settings.LongSetMargin
 	return min(size, servers/2)
 }
 
 // meetsDeadline reports whether the prompt, after the queued tokens, is expected to be
 // prefilled early enough to leave time for decoding.
-func (lengthaware LengthAware) inTime(server *Server, queued int, request *Request) bool {
+func (lengthaware LengthAware) meetsDeadline(server *Server, queued int, request *Request) bool {
 	rate := server.PrefillRate
 	if rate == 0 || queued == 0 {
 		// An idle server is retried however slow it was, so that its rate is measured
@@ -209,12 +209,12 @@
 		rate = max(rate, lengthaware.settings.PrefillTokensPerSecond)
 	}
 	seconds := float64(queued+request.Tokens) / rate
-	return seconds < prefillPart*request.TimeLeft.Seconds()
+	return seconds < maxPrefillFraction*request.TimeLeft.Seconds()
 }
 
 // fits reports whether the server has enough free memory for the request.
 func fits(server *Server, request *Request) bool {
-	return server.Free >= request.Need()
+	return server.Free >= request.RequiredMemory()
 }
 
 // compareTrueFirst orders true before false.
--- a/internal/routing/roundrobin.go
+++ b/internal/routing/roundrobin.go
@@ -20,12 +20,12 @@
 
 // Decide implements Policy.
 func (roundrobin *RoundRobin) Decide(snapshot Snapshot, request Request, _ *rand.Rand) Decision {
-	servers := usable(snapshot, &request)
+	servers := eligibleServers(snapshot, &request)
 	if len(servers) == 0 {
 		return refuse(RefusalNoServer, "no server has the model")
 	}
-	if !fitsOne(servers, request) {
-		return groupFor(servers, request)
+	if !fitsSingleServer(servers, request) {
+		return chooseGroup(servers, request)
 	}
 	turn := roundrobin.next.Add(1)
 	return choose(servers[turn%uint64(len(servers))], "round robin")
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -73,7 +73,7 @@
 }
 
 // RequiredMemory returns the KV cache that the whole request needs, in tokens.
-func (request Request) Need() int {
+func (request Request) RequiredMemory() int {
 	return request.Tokens + request.MaxTokens
 }
 
@@ -93,7 +93,7 @@
 	RefusalNone     Refusal = ""
 	RefusalNoServer Refusal = "no server"
 	RefusalTooLong  Refusal = "prompt too long"
-	RefusalNoTime   Refusal = "stated time cannot be met"
+	RefusalDeadline Refusal = "stated time cannot be met"
 )
 
 // Decision has the servers that are to process a request, or the reason why none is.
@@ -116,7 +116,7 @@
 
 // eligibleServers returns the servers to which the request may be sent. It returns
 // ejected servers only if there are no others.
-func usable(snapshot Snapshot, request *Request) []Server {
+func eligibleServers(snapshot Snapshot, request *Request) []Server {
 	var healthy, ejected []Server
 	for i := range snapshot.Servers {
 		server := &snapshot.Servers[i]
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -140,7 +140,7 @@
 				}
 			},
 			request: routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: time.Second},
-			refusal: routing.RefusalNoTime,
+			refusal: routing.RefusalDeadline,
 		},
 		"a request is refused when the measured prefill rate is too low for its deadline": {
 			change: func(servers []routing.Server) {
@@ -149,7 +149,7 @@
 				}
 			},
 			request: routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: 3 * time.Second},
-			refusal: routing.RefusalNoTime,
+			refusal: routing.RefusalDeadline,
 		},
 		"an idle server is tried again however slow it was": {
 			change: func(servers []routing.Server) {
@@ -241,8 +241,8 @@
 			return "group is not sorted by ID"
 		}
 	}
-	if len(decision.Servers) > 0 && totalMemory < request.Need() {
-		return fmt.Sprintf("%d tokens of memory for %d", totalMemory, request.Need())
+	if len(decision.Servers) > 0 && totalMemory < request.RequiredMemory() {
+		return fmt.Sprintf("%d tokens of memory for %d", totalMemory, request.RequiredMemory())
 	}
 	return ""
 }
