--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -9,9 +9,9 @@
 	// ID is the request ID that the caller chose. Each retry by the caller has
 	// another one.
 	ID string
-	// Time is the time until the caller deadline, or zero if the caller gave
+	// TimeToCallerDeadline is the time until the caller deadline, or zero if the caller gave
 	// none.
-	Time time.Duration
+	TimeToCallerDeadline time.Duration
 	// Key is the idempotency key, or empty if the caller gave none.
 	Key string
 	// Prompt is nil for a call to a plain service.
@@ -33,8 +33,8 @@
 type Dispatch struct {
 	// Instance is the ID of the server that may run the request.
 	Instance string
-	// Time is the time until the caller deadline.
-	Time time.Duration
+	// TimeToCallerDeadline is the time until the caller deadline.
+	TimeToCallerDeadline time.Duration
 	// Organisation is the organisation of a request with a key, or empty.
 	Organisation string
 	// LastEvent is the ID of the event after which a stream is resumed, or empty.
@@ -66,27 +66,27 @@
 	Ticket string
 }
 
-// Answer is the metadata of a server's response, as decoded from its status and
+// Response is the metadata of a server's response, as decoded from its status and
 // header.
-type Answer struct {
+type Response struct {
 	// ID is the ID of the request to which the server responds.
 	ID string
 	// NotRun reports that the server did not run the request and never will.
 	NotRun bool
 	// Misdirected reports that the address now belongs to another server.
 	Misdirected bool
-	// Whole reports that the response carries the seal that proves that it
+	// Sealed reports that the response carries the seal that proves that it
 	// came from a server.
-	Whole bool
-	// AtServer is the address of the server that failed, or empty.
-	AtServer string
-	// Idle is how long the server keeps an idle connection open, or zero if
+	Sealed bool
+	// FailedServer is the address of the server that failed, or empty.
+	FailedServer string
+	// IdleTimeout is how long the server keeps an idle connection open, or zero if
 	// it did not advertise that.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Stream reports that the body is a stream of events.
 	Stream bool
-	// Encoded reports that the body has a content encoding, such as compression.
-	Encoded bool
+	// ContentEncoded reports that the body has a content encoding, such as compression.
+	ContentEncoded bool
 }
 
 // FieldError reports an invalid field of a request.
--- a/internal/cmd/evacuationcmd.go
+++ b/internal/cmd/evacuationcmd.go
@@ -76,6 +76,6 @@
 	}
 	fmt.Fprintln(w, "KIND\tGET NOTHING NEW\tLEFT")
 	for _, kind := range plan.Kinds {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", kind.Kind, kind.There, kind.Left)
+		fmt.Fprintf(w, "%s\t%d\t%d\n", kind.Kind, kind.InDataCentre, kind.Remaining)
 	}
 }
--- a/internal/entry/activerequest.go
+++ b/internal/entry/activerequest.go
@@ -11,9 +11,9 @@
 	"github.com/mastwinch/mastwinch/internal/request"
 )
 
-// active is a request that this entry is running, or an ended one whose
+// activeRequest is a request that this entry is running, or an ended one whose
 // response it still stores.
-type active struct {
+type activeRequest struct {
 	request request.Request
 	buffer  *relay.Buffer
 	// deadline is when the outcome must have been sent to the caller.
@@ -25,23 +25,23 @@
 // concurrent use.
 type registry struct {
 	mu      sync.Mutex
-	running map[string]*active
+	running map[string]*activeRequest
 	// ended evicts the oldest request when it is full.
-	ended *simplelru.LRU[string, *active]
+	ended *simplelru.LRU[string, *activeRequest]
 }
 
 func newRegistry(maxEnded int) *registry {
-	ended, err := simplelru.NewLRU[string, *active](maxEnded, nil)
+	ended, err := simplelru.NewLRU[string, *activeRequest](maxEnded, nil)
 	if err != nil {
 		panic(err) // NewLRU fails only for a size below one
 	}
 	return &registry{
-		running: make(map[string]*active),
+		running: make(map[string]*activeRequest),
 		ended:   ended,
 	}
 }
 
-func (registry *registry) add(active *active) {
+func (registry *registry) add(active *activeRequest) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	registry.running[active.request.ID] = active
@@ -49,23 +49,23 @@
 
 // addOnce adds a request unless one with the same ID is present. It returns the
 // request that is in the registry afterwards, and whether that is the added one.
-func (registry *registry) addOnce(added *active) (*active, bool) {
+func (registry *registry) addOnce(added *activeRequest) (*activeRequest, bool) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	if found := registry.get(added.request.ID); found != nil {
+	if found := registry.findLocked(added.request.ID); found != nil {
 		return found, false
 	}
 	registry.running[added.request.ID] = added
 	return added, true
 }
 
-func (registry *registry) find(id string) *active {
+func (registry *registry) find(id string) *activeRequest {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	return registry.get(id)
+	return registry.findLocked(id)
 }
 
-func (registry *registry) get(id string) *active {
+func (registry *registry) findLocked(id string) *activeRequest {
 	if found, ok := registry.running[id]; ok {
 		return found
 	}
@@ -73,9 +73,9 @@
 	return found
 }
 
-// end moves a running request to the ended ones. Its response is kept, its
+// moveToEnded moves a running request to the ended ones. Its response is kept, its
 // prompt is not.
-func (registry *registry) end(ended *active) {
+func (registry *registry) moveToEnded(ended *activeRequest) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	delete(registry.running, ended.request.ID)
@@ -84,24 +84,24 @@
 	registry.ended.Add(ended.request.ID, &withoutBody)
 }
 
-func (registry *registry) list() []*active {
+func (registry *registry) runningRequests() []*activeRequest {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	list := make([]*active, 0, len(registry.running))
+	list := make([]*activeRequest, 0, len(registry.running))
 	for _, active := range registry.running {
 		list = append(list, active)
 	}
 	return list
 }
 
-func (registry *registry) len() int {
+func (registry *registry) runningCount() int {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return len(registry.running)
 }
 
-// forget removes the requests that ended before the given time.
-func (registry *registry) forget(before time.Time) {
+// removeEndedBefore removes the requests that ended before the given time.
+func (registry *registry) removeEndedBefore(before time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	for {
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -16,8 +16,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// adminTime limits how long an operator's change waits for the replicated log.
-const adminTime = 10 * time.Second
+// adminTimeout limits how long an operator's change waits for the replicated log.
+const adminTimeout = 10 * time.Second
 
 // Organisation is the JSON form of an organisation in the admin API.
 type Organisation struct {
@@ -61,7 +61,7 @@
 		Incarnation:     entry.incarnation,
 		Stopping:        entry.stopping.Load(),
 		KeeperConnected: entry.proposer.Connected(),
-		Running:         entry.registry.len(),
+		Running:         entry.registry.runningCount(),
 		Listed:          entry.fleet.Counts(),
 	}
 	entry.replica.View(func(state *state.State) {
@@ -103,7 +103,7 @@
 		writeProblem(w, http.StatusBadRequest, "max_concurrent", "must be at least 1")
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_PutOrganisation{PutOrganisation: &wire.PutOrganisation{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_PutOrganisation{PutOrganisation: &wire.PutOrganisation{
 		Organisation:    &wire.Organisation{Name: name, Weight: put.Weight, MaxConcurrent: put.MaxConcurrent},
 		ExpectedVersion: put.Version,
 	}}})
@@ -114,7 +114,7 @@
 	if !ok {
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_RemoveOrganisation{RemoveOrganisation: &wire.RemoveOrganisation{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_RemoveOrganisation{RemoveOrganisation: &wire.RemoveOrganisation{
 		Name:            mux.Vars(r)["name"],
 		ExpectedVersion: version,
 	}}})
@@ -143,7 +143,7 @@
 		writeProblem(w, http.StatusBadRequest, "organisation", "is not known")
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_CreateSession{CreateSession: &wire.CreateSession{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_CreateSession{CreateSession: &wire.CreateSession{
 		SessionId:    mux.Vars(r)["id"],
 		Organisation: created.Organisation,
 	}}})
@@ -154,7 +154,7 @@
 	if !ok {
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_EndSession{EndSession: &wire.EndSession{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_EndSession{EndSession: &wire.EndSession{
 		SessionId:       mux.Vars(r)["id"],
 		ExpectedVersion: version,
 	}}})
@@ -169,11 +169,11 @@
 	return version, true
 }
 
-// change proposes a record to the log, and responds with the verdict that is
+// proposeChange proposes a record to the log, and responds with the verdict that is
 // read back from it.
-func (entry *Entry) change(w http.ResponseWriter, r *http.Request, record *wire.Record) {
+func (entry *Entry) proposeChange(w http.ResponseWriter, r *http.Request, record *wire.Record) {
 	record.Id = "change/" + uuid.NewString()
-	ctx, cancel := context.WithTimeout(r.Context(), adminTime)
+	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
 	verdict, err := entry.proposer.Propose(ctx, record)
 	if err != nil {
@@ -189,10 +189,10 @@
 		Version:  uint64(verdict.Version),
 	}
 	entry.logger.Info("admin change decided", "record_id", record.GetId(), "accepted", verdict.Accepted, "reason", verdict.Reason)
-	writeJSON(w, changeStatus(verdict), response)
+	writeJSON(w, changeStatusCode(verdict), response)
 }
 
-func changeStatus(verdict fold.Verdict) int {
+func changeStatusCode(verdict fold.Verdict) int {
 	switch {
 	case verdict.Accepted:
 		return http.StatusOK
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -30,7 +30,7 @@
 	defer admission.mu.Unlock()
 	switch {
 	case admission.byOrganisation[organisation.Name] >= organisation.MaxConcurrent:
-		return nil, request.ReasonOrganisation
+		return nil, request.ReasonOrganisationLimit
 	case admission.running >= admission.settings.MaxConcurrent,
 		admission.bodyBytes+bodyBytes > admission.settings.MaxBodyBytes:
 		return nil, request.ReasonOverload
--- a/internal/entry/adopt.go
+++ b/internal/entry/adopt.go
@@ -21,16 +21,16 @@
 // adopt takes over the stream of a request after the entry that admitted it was
 // lost. last is the last position that the caller received; its Seq is -1 for
 // none. The returned request may have been adopted by an earlier call.
-func (entry *Entry) adopt(ctx context.Context, id, organisation string, last relay.Position) (*active, error) {
+func (entry *Entry) adopt(ctx context.Context, id, organisation string, last relay.Position) (*activeRequest, error) {
 	searchCtx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	location, err := entry.locate(searchCtx, id, last)
+	location, err := entry.locateStream(searchCtx, id, last)
 	if err != nil {
 		return nil, err
 	}
 	// The stream outlives the HTTP request that located it.
-	ctx, cancelCause := context.WithCancelCause(entry.life)
-	stream, base, err := entry.open(ctx, location, last)
+	ctx, cancelCause := context.WithCancelCause(entry.baseContext)
+	stream, base, err := entry.openStream(ctx, location, last)
 	if err != nil {
 		cancelCause(nil)
 		return nil, err
@@ -56,20 +56,20 @@
 
 func (entry *Entry) newAdopted(
 	id, organisation string, base int, timeLeft time.Duration, cancel context.CancelCauseFunc,
-) *active {
+) *activeRequest {
 	now := entry.now()
 	adopted := request.Request{
 		ID:           id,
 		Organisation: organisation,
 		Mode:         request.ModeStream,
 		Repeatable:   true,
-		Time:         timeLeft,
+		TimeLimit:    timeLeft,
 	}
-	if attempt, ok := entry.attemptOf(id); ok {
+	if attempt, ok := entry.attemptOfRequest(id); ok {
 		adopted.Key = attempt.Key
 		adopted.Repeatable = false
 	}
-	return &active{
+	return &activeRequest{
 		request:  adopted,
 		buffer:   relay.NewBuffer(base, now),
 		deadline: now.Add(timeLeft),
@@ -79,44 +79,44 @@
 
 // runAdopted relays an adopted stream until it ends. The request is never sent
 // to another server, because its prompt was lost with the entry that admitted it.
-func (entry *Entry) runAdopted(ctx context.Context, adopted *active, location located, stream backend.Stream) {
+func (entry *Entry) runAdopted(ctx context.Context, adopted *activeRequest, location streamLocation, stream backend.Stream) {
 	defer adopted.cancel(nil)
-	timedCtx, stop := context.WithDeadline(ctx, adopted.deadline.Add(-margin(adopted.request.Time)))
+	timedCtx, stop := context.WithDeadline(ctx, adopted.deadline.Add(-outcomeMargin(adopted.request.TimeLimit)))
 	defer stop()
 	stopClosing := context.AfterFunc(timedCtx, stream.Close)
 	defer stopClosing()
-	forwarder := &run{active: adopted, entry: entry, sending: fleet.UntrackedRequest(), mayHaveRun: true}
-	result := forwarder.relay(timedCtx, stream, location.source())
+	forwarder := &forwarder{activeRequest: adopted, entry: entry, sending: fleet.UntrackedRequest(), mayHaveRun: true}
+	result := forwarder.relayStream(timedCtx, stream, location.source())
 	switch result.kind {
 	case resultCompleted:
-		entry.settle(adopted, request.Completed(result.server))
+		entry.recordEnd(adopted, request.Completed(result.server))
 	case resultInterrupted:
-		entry.settle(adopted, forwarder.interrupted(timedCtx))
+		entry.recordEnd(adopted, forwarder.interruptedOutcome(timedCtx))
 	default:
-		entry.settle(adopted, request.MayHaveRun(result.reason))
+		entry.recordEnd(adopted, request.MayHaveRun(result.reason))
 	}
 }
 
-// located is the engine and the attempt of a stream.
-type located struct {
+// streamLocation is the engine and the attempt of a stream.
+type streamLocation struct {
 	server *wire.Server
 	// attempt is the number of the attempt, and id the ID of the attempt.
 	attempt int
 	id      string
 }
 
-func (location located) source() source {
+func (location streamLocation) source() source {
 	return source{
 		attempt: location.attempt,
 		id:      location.id,
-		server:  snapshotServer(location.server),
+		server:  routingServer(location.server),
 	}
 }
 
-// open opens the stream at its first token if the engine still stores that, and
+// openStream opens the stream at its first token if the engine still stores that, and
 // otherwise after the last token that the caller received. It returns the
 // sequence number at which the stream begins.
-func (entry *Entry) open(ctx context.Context, location located, last relay.Position) (backend.Stream, int, error) {
+func (entry *Entry) openStream(ctx context.Context, location streamLocation, last relay.Position) (backend.Stream, int, error) {
 	stream, err := entry.backends.Resume(ctx, location.server.GetAddress(), location.id, 0)
 	if err == nil {
 		return stream, 0, nil
@@ -129,25 +129,25 @@
 	return stream, base, err
 }
 
-// locate finds the engine that holds the newest attempt of a request: the one
+// locateStream finds the engine that holds the newest attempt of a request: the one
 // named in the caller's last event, the one recorded in the log, or the result of
 // a search of all engines.
-func (entry *Entry) locate(ctx context.Context, id string, last relay.Position) (located, error) {
+func (entry *Entry) locateStream(ctx context.Context, id string, last relay.Position) (streamLocation, error) {
 	engines := entry.fleet.Engines()
 	if last.Seq >= 0 {
 		for _, engine := range engines {
 			if engine.GetId() == last.Server {
-				return located{server: engine, attempt: last.Attempt, id: attemptID(id, last.Attempt)}, nil
+				return streamLocation{server: engine, attempt: last.Attempt, id: attemptID(id, last.Attempt)}, nil
 			}
 		}
 	}
-	if attempt, ok := entry.attemptOf(id); ok && attempt.Server != "" {
-		engines = onlyServer(engines, attempt)
+	if attempt, ok := entry.attemptOfRequest(id); ok && attempt.Server != "" {
+		engines = engineOfAttempt(engines, attempt)
 	}
-	return entry.search(ctx, id, engines)
+	return entry.searchEngines(ctx, id, engines)
 }
 
-func onlyServer(engines []*wire.Server, attempt ledger.Attempt) []*wire.Server {
+func engineOfAttempt(engines []*wire.Server, attempt ledger.Attempt) []*wire.Server {
 	for _, engine := range engines {
 		if engine.GetId() == attempt.Server {
 			return []*wire.Server{engine}
@@ -156,14 +156,14 @@
 	return nil
 }
 
-// search lists the streams of the given engines, and returns the newest attempt
+// searchEngines lists the streams of the given engines, and returns the newest attempt
 // of the request. Engines that do not respond are left out. It returns
 // errStreamNotFound if there is no attempt.
-func (entry *Entry) search(ctx context.Context, id string, engines []*wire.Server) (located, error) {
+func (entry *Entry) searchEngines(ctx context.Context, id string, engines []*wire.Server) (streamLocation, error) {
 	var mu sync.Mutex
 	var searches sync.WaitGroup
-	newest := located{attempt: -1}
-	slots := make(chan struct{}, searchParallel)
+	newest := streamLocation{attempt: -1}
+	slots := make(chan struct{}, maxParallelSearches)
 	for _, engine := range engines {
 		slots <- struct{}{}
 		searches.Go(func() {
@@ -175,22 +175,22 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, info := range infos {
-				if attempt, ok := attemptOfStream(id, info); ok && attempt > newest.attempt {
-					newest = located{server: engine, attempt: attempt, id: info.Attempt}
+				if attempt, ok := parseAttemptNumber(id, info); ok && attempt > newest.attempt {
+					newest = streamLocation{server: engine, attempt: attempt, id: info.Attempt}
 				}
 			}
 		})
 	}
 	searches.Wait()
 	if newest.server == nil {
-		return located{}, errLost
+		return streamLocation{}, errStreamNotFound
 	}
 	return newest, nil
 }
 
-// attemptOfStream returns the attempt number of a stream. It reports false if the
+// parseAttemptNumber returns the attempt number of a stream. It reports false if the
 // stream belongs to another request.
-func attemptOfStream(requestID string, info backend.StreamInfo) (int, bool) {
+func parseAttemptNumber(requestID string, info backend.StreamInfo) (int, bool) {
 	if info.Request != requestID {
 		return 0, false
 	}
@@ -202,6 +202,6 @@
 	return attempt, err == nil
 }
 
-func snapshotServer(server *wire.Server) routing.Server {
+func routingServer(server *wire.Server) routing.Server {
 	return routing.Server{ID: server.GetId(), Address: server.GetAddress()}
 }
--- a/internal/entry/api.go
+++ b/internal/entry/api.go
@@ -94,7 +94,7 @@
 }
 
 func (entry *Entry) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	organisation, ok := entry.organisation(w, r)
+	organisation, ok := entry.callerOrganisation(w, r)
 	if !ok {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 func (entry *Entry) handleCall(w http.ResponseWriter, r *http.Request) {
-	organisation, ok := entry.organisation(w, r)
+	organisation, ok := entry.callerOrganisation(w, r)
 	if !ok {
 		return
 	}
@@ -133,12 +133,12 @@
 	}
 	w.Header().Set(HeaderRequestID, submitted.ID)
 	if !submitted.Repeatable {
-		if earlier, ok := entry.earlier(submitted.Key); ok {
-			entry.answerDuplicate(w, submitted, earlier)
+		if earlier, ok := entry.grantedAttempt(submitted.Key); ok {
+			entry.respondDuplicate(w, submitted, earlier)
 			return
 		}
 	}
-	if entry.closed.Load() {
+	if entry.refusing.Load() {
 		entry.refuse(w, submitted, request.ReasonStopping)
 		return
 	}
@@ -147,15 +147,15 @@
 		entry.refuse(w, submitted, reason)
 		return
 	}
-	started := entry.start(submitted, release)
+	started := entry.startRequest(submitted, release)
 	switch {
 	case submitted.Mode == request.ModeDeferred:
 		w.Header().Set("Location", "/v1/requests/"+submitted.ID)
 		writeJSON(w, http.StatusAccepted, Status{RequestID: submitted.ID, Running: true})
 	case submitted.Service:
-		entry.answerCall(w, r, started)
+		entry.respondCall(w, r, started)
 	default:
-		entry.answerStream(w, r, started, 0)
+		entry.respondStream(w, r, started, 0)
 	}
 }
 
@@ -167,9 +167,9 @@
 	writeOutcome(w, Status{RequestID: refused.ID}, outcome)
 }
 
-// organisation returns the organisation named in the request header. If there is
+// callerOrganisation returns the organisation named in the request header. If there is
 // no such organisation, it writes an error response and reports false.
-func (entry *Entry) organisation(w http.ResponseWriter, r *http.Request) (configuration.Organisation, bool) {
+func (entry *Entry) callerOrganisation(w http.ResponseWriter, r *http.Request) (configuration.Organisation, bool) {
 	name := r.Header.Get(HeaderOrganisation)
 	organisation, ok := entry.configuration().Organisation(name)
 	if !ok {
@@ -202,7 +202,7 @@
 	// The response writers of an HTTP server support deadlines, those of tests
 	// need not; so errors are ignored.
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(entry.now().Add(entry.settings.Admission.TransferTime))
+	_ = controller.SetReadDeadline(entry.now().Add(entry.settings.Admission.TransferTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, entry.settings.Limits.MaxBodyBytes))
 	if err == nil {
 		// After an error the deadline is kept: without it, the server would wait
@@ -242,11 +242,11 @@
 		return http.StatusBadGateway
 	}
 	switch outcome.Reason {
-	case request.ReasonKeyConflict, request.ReasonKeyContent, request.ReasonKeyExpired:
+	case request.ReasonKeyConflict, request.ReasonKeyContentDiffers, request.ReasonKeyExpired:
 		return http.StatusConflict
-	case request.ReasonTooLong:
+	case request.ReasonPromptTooLong:
 		return http.StatusRequestEntityTooLarge
-	case request.ReasonOrganisation:
+	case request.ReasonOrganisationLimit:
 		return http.StatusTooManyRequests
 	case request.ReasonDeadline:
 		return http.StatusGatewayTimeout
--- a/internal/entry/api_test.go
+++ b/internal/entry/api_test.go
@@ -18,10 +18,10 @@
 // newTestEntry returns an entry that has one organisation and no engines.
 func newTestEntry(t *testing.T, changeSettings func(settings *Settings)) *Entry {
 	t.Helper()
-	cluster := newWorld(noMutant{})
+	cluster := newCluster(noMutant{})
 	tested := cluster.nodes[0].entry
 	changeSettings(&tested.settings)
-	t.Cleanup(cluster.end)
+	t.Cleanup(cluster.stopAll)
 	return tested
 }
 
@@ -80,7 +80,7 @@
 				fields = append(fields, field.Field)
 			}
 			assert.DeepEqual(t, fields, test.fields)
-			assert.Equal(t, tested.registry.len(), 0)
+			assert.Equal(t, tested.registry.runningCount(), 0)
 		})
 	}
 }
@@ -92,9 +92,9 @@
 		reason request.Reason
 	}{
 		"no engine":    {change: func(*Entry) {}, code: http.StatusServiceUnavailable, reason: request.ReasonNoServer},
-		"stopping":     {change: func(tested *Entry) { tested.closed.Store(true) }, code: http.StatusServiceUnavailable, reason: request.ReasonStopping},
+		"stopping":     {change: func(tested *Entry) { tested.refusing.Store(true) }, code: http.StatusServiceUnavailable, reason: request.ReasonStopping},
 		"overload":     {change: func(tested *Entry) { tested.admission.settings.MaxConcurrent = 0 }, code: http.StatusServiceUnavailable, reason: request.ReasonOverload},
-		"organisation": {change: func(tested *Entry) { tested.admission.byOrganisation[testOrganisation] = 100 }, code: http.StatusTooManyRequests, reason: request.ReasonOrganisation},
+		"organisation": {change: func(tested *Entry) { tested.admission.byOrganisation[testOrganisation] = 100 }, code: http.StatusTooManyRequests, reason: request.ReasonOrganisationLimit},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 // TestStalledBodyTimesOut guards against a connection that stays open for ever
 // because the caller never sends the rest of its body.
 func TestStalledBodyTimesOut(t *testing.T) {
-	tested := newTestEntry(t, func(settings *Settings) { settings.Admission.TransferTime = 20 * time.Millisecond })
+	tested := newTestEntry(t, func(settings *Settings) { settings.Admission.TransferTimeout = 20 * time.Millisecond })
 	server := httptest.NewServer(tested.Handler())
 	defer server.Close()
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// reopenTries is how often in a row a stream is resumed after the connection
+	// maxResumeAttempts is how often in a row a stream is resumed after the connection
 	// to the engine broke.
-	reopenTries = 3
-	// reopenPause is the delay before each resumption but the first.
-	reopenPause = 50 * time.Millisecond
-	// orderTime is the timeout of a command to an engine.
-	orderTime = 2 * time.Second
+	maxResumeAttempts = 3
+	// resumeDelay is the delay before each resumption but the first.
+	resumeDelay = 50 * time.Millisecond
+	// commandTimeout is the timeout of a command to an engine.
+	commandTimeout = 2 * time.Second
 )
 
-// attempt sends the request once, to the servers of a routing decision. If there
+// send sends the request once, to the servers of a routing decision. If there
 // are several, memory is reserved at each before the request is sent to the first.
-func (forwarder *run) attempt(ctx context.Context, decision routing.Decision) result {
+func (forwarder *forwarder) send(ctx context.Context, decision routing.Decision) result {
 	forwarder.sending = forwarder.entry.fleet.RecordDispatch(decision, forwarder.routingRequest())
 	defer forwarder.sending.Finish()
 	attempt := forwarder.attempts
 	forwarder.attempts++
 	group := ""
 	if len(decision.Servers) > 1 {
-		reserved, failure := forwarder.reserve(ctx, decision.Servers)
+		reserved, failure := forwarder.reserveMemory(ctx, decision.Servers)
 		if failure != nil {
 			return *failure
 		}
@@ -45,19 +45,19 @@
 		return result{kind: resultInterrupted}
 	}
 	server := decision.Servers[0]
-	dispatch := forwarder.dispatch(attempt, group)
+	dispatch := forwarder.newDispatch(attempt, group)
 	if forwarder.request.Service {
-		return forwarder.call(ctx, server, dispatch)
+		return forwarder.callService(ctx, server, dispatch)
 	}
 	stream, err := forwarder.entry.backends.Generate(ctx, server.Address, dispatch)
 	if err != nil {
-		return forwarder.dispatchFailed(ctx, server, err)
+		return forwarder.dispatchFailure(ctx, server, err)
 	}
 	forwarder.mayHaveRun = true
-	return forwarder.relay(ctx, stream, source{attempt: attempt, id: dispatch.Attempt, server: server, from: dispatch.From})
+	return forwarder.relayStream(ctx, stream, source{attempt: attempt, id: dispatch.Attempt, server: server, from: dispatch.From})
 }
 
-func (forwarder *run) dispatch(attempt int, group string) backend.Dispatch {
+func (forwarder *forwarder) newDispatch(attempt int, group string) backend.Dispatch {
 	return backend.Dispatch{
 		Attempt:      attemptID(forwarder.request.ID, attempt),
 		Request:      forwarder.request.ID,
@@ -78,7 +78,7 @@
 
 // priority returns the scheduling priority at the engine: shorter prompts are
 // prefilled before longer ones.
-func (forwarder *run) priority() int {
+func (forwarder *forwarder) priority() int {
 	settings := forwarder.entry.settings.Routing
 	switch tokens := forwarder.request.Tokens(); {
 	case tokens < settings.LengthAware.LongTokens:
@@ -95,9 +95,9 @@
 	return fmt.Sprintf("%s~%d", requestID, attempt)
 }
 
-// dispatchFailed returns the result of a failed dispatch. The server may have run
+// dispatchFailure returns the result of a failed dispatch. The server may have run
 // the request unless err is a backend.NotRunError.
-func (forwarder *run) dispatchFailed(ctx context.Context, server routing.Server, err error) result {
+func (forwarder *forwarder) dispatchFailure(ctx context.Context, server routing.Server, err error) result {
 	var notRun *backend.NotRunError
 	if errors.As(err, &notRun) {
 		if notRun.Leaving {
@@ -112,15 +112,15 @@
 	var status *backend.StatusError
 	return result{
 		kind: resultUncertain, reason: request.ReasonEngineFailed, server: server.ID,
-		lost: !errors.As(err, &status), err: err,
+		connectionLost: !errors.As(err, &status), err: err,
 	}
 }
 
-// call sends a call to a plain service and stores its response as one token.
-func (forwarder *run) call(ctx context.Context, server routing.Server, dispatch backend.Dispatch) result {
+// callService sends a call to a plain service and stores its response as one token.
+func (forwarder *forwarder) callService(ctx context.Context, server routing.Server, dispatch backend.Dispatch) result {
 	response, err := forwarder.entry.backends.Call(ctx, server.Address, dispatch)
 	if err != nil {
-		return forwarder.dispatchFailed(ctx, server, err)
+		return forwarder.dispatchFailure(ctx, server, err)
 	}
 	forwarder.mayHaveRun = true
 	forwarder.buffer.MarkStarted()
@@ -138,9 +138,9 @@
 	from int
 }
 
-// relay copies the frames of a stream into the buffer until the stream ends. It
+// relayStream copies the frames of a stream into the buffer until the stream ends. It
 // resumes the stream after connection losses.
-func (forwarder *run) relay(ctx context.Context, stream backend.Stream, source source) result {
+func (forwarder *forwarder) relayStream(ctx context.Context, stream backend.Stream, source source) result {
 	defer func() { stream.Close() }()
 	forwarder.buffer.MarkStarted()
 	// losses is the number of connection losses since the last frame.
@@ -149,7 +149,7 @@
 		frame, err := stream.Next()
 		if err != nil {
 			losses++
-			resumed, failure := forwarder.reopen(ctx, source, losses, err)
+			resumed, failure := forwarder.resumeStream(ctx, source, losses, err)
 			if failure != nil {
 				return *failure
 			}
@@ -159,13 +159,13 @@
 		}
 		losses = 0
 		if frame.End != backend.EndNone {
-			return forwarder.streamEnded(frame, source)
+			return forwarder.streamResult(frame, source)
 		}
-		forwarder.add(frame, source)
+		forwarder.addToken(frame, source)
 	}
 }
 
-func (forwarder *run) add(frame backend.Frame, source source) {
+func (forwarder *forwarder) addToken(frame backend.Frame, source source) {
 	token := relay.Token{
 		Seq:     frame.Seq,
 		Text:    frame.Text,
@@ -178,12 +178,12 @@
 	}
 	forwarder.sending.FinishPrefill()
 	if frame.Seq == 0 {
-		forwarder.observeFirstToken()
+		forwarder.recordFirstToken()
 	}
 }
 
-func (forwarder *run) observeFirstToken() {
-	elapsed := forwarder.request.Time - forwarder.timeLeft()
+func (forwarder *forwarder) recordFirstToken() {
+	elapsed := forwarder.request.TimeLimit - forwarder.timeLeft()
 	length := "short"
 	if forwarder.request.Tokens() >= forwarder.entry.settings.Routing.LengthAware.LongTokens {
 		length = "long"
@@ -191,31 +191,31 @@
 	forwarder.entry.metrics.firstToken.WithLabelValues(length).Observe(elapsed.Seconds())
 }
 
-// streamEnded returns the result for the last frame of a stream. A response is
+// streamResult returns the result for the last frame of a stream. A response is
 // complete only if every token up to its end was received.
-func (forwarder *run) streamEnded(frame backend.Frame, source source) result {
+func (forwarder *forwarder) streamResult(frame backend.Frame, source source) result {
 	server := source.server.ID
 	switch {
 	case frame.End == backend.EndCompleted && frame.Seq == forwarder.buffer.Next():
 		return result{kind: resultCompleted, server: server}
 	case frame.End == backend.EndDeadline:
-		return result{kind: resultEnded, reason: request.ReasonDeadline, server: server}
+		return result{kind: resultEndedByServer, reason: request.ReasonDeadline, server: server}
 	case frame.End == backend.EndCancelled:
-		return result{kind: resultEnded, reason: request.ReasonCancelled, server: server}
+		return result{kind: resultEndedByServer, reason: request.ReasonCancelled, server: server}
 	default:
 		err := errors.Newf("stream ended with %s at token %d of %d: %s", frame.End, forwarder.buffer.Next(), frame.Seq, frame.Reason)
 		return result{kind: resultUncertain, reason: request.ReasonEngineFailed, server: server, err: err}
 	}
 }
 
-// reopen resumes a stream after its connection was lost for the given number of
+// resumeStream resumes a stream after its connection was lost for the given number of
 // times in a row, or returns the result of the attempt. lossErr is the error of
 // the last loss.
-func (forwarder *run) reopen(ctx context.Context, source source, losses int, lossErr error) (backend.Stream, *result) {
+func (forwarder *forwarder) resumeStream(ctx context.Context, source source, losses int, lossErr error) (backend.Stream, *result) {
 	entry := forwarder.entry
-	for try := losses; try <= reopenTries; try++ {
+	for try := losses; try <= maxResumeAttempts; try++ {
 		if try > 1 {
-			wait.For(ctx, reopenPause)
+			wait.For(ctx, resumeDelay)
 		}
 		if ctx.Err() != nil {
 			break
@@ -228,20 +228,20 @@
 		lossErr = errors.CombineErrors(lossErr, err)
 	}
 	if ctx.Err() != nil {
-		entry.cancelAt(source.server.Address, source.id)
+		entry.cancelStream(source.server.Address, source.id)
 		return nil, &result{kind: resultInterrupted, server: source.server.ID}
 	}
 	return nil, &result{
 		kind: resultUncertain, reason: request.ReasonEngineFailed, server: source.server.ID,
-		lost: true, ran: forwarder.buffer.Next() > source.from, err: lossErr,
+		connectionLost: true, receivedToken: forwarder.buffer.Next() > source.from, err: lossErr,
 	}
 }
 
-// cancelAt cancels a stream at an engine, in the background. If the engine cannot
+// cancelStream cancels a stream at an engine, in the background. If the engine cannot
 // be reached, it ends the stream at the deadline of the request.
-func (entry *Entry) cancelAt(address, attempt string) {
+func (entry *Entry) cancelStream(address, attempt string) {
 	entry.background.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+		ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 		defer cancel()
 		err := entry.backends.Cancel(ctx, address, attempt)
 		if err != nil {
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -27,29 +27,29 @@
 )
 
 const (
-	testOrganisation = "register"
-	testService      = "receipts"
-	keyCount         = 2
-	nodeCount        = 3
-	proposeAgain     = time.Second
+	testOrganisation  = "register"
+	testService       = "receipts"
+	keyCount          = 2
+	nodeCount         = 3
+	reproposeInterval = time.Second
 )
 
 // serverMode is the behaviour of the fake service when it gets a call.
 type serverMode int
 
 const (
-	serverAnswers serverMode = iota
+	serverResponds serverMode = iota
 	serverRefuses
 	serverUnreachable
-	// serverLosesAnswer runs the call and then closes the connection without a response.
-	serverLosesAnswer
+	// serverLosesResponse runs the call and then closes the connection without a response.
+	serverLosesResponse
 	// serverSlow runs the call and responds after 3 seconds.
 	serverSlow
 	serverModes
 )
 
-// world is a cluster of entries with a fake log and a fake service, in virtual time.
-type world struct {
+// cluster is a cluster of entries with a fake log and a fake service, in virtual time.
+type cluster struct {
 	mutant mutant
 
 	mu sync.Mutex
@@ -57,22 +57,22 @@
 	batches []*wire.Batch
 	// outage reports that appended records are lost.
 	outage bool
-	// late is the delay before appended records take effect.
-	late  time.Duration
-	mode  serverMode
-	nodes []*node
+	// recordDelay is the delay before appended records take effect.
+	recordDelay time.Duration
+	mode        serverMode
+	nodes       []*node
 	// runsByRequest and runsByKey count the calls that the service ran.
 	runsByRequest map[string]int
 	runsByKey     map[string]int
-	// called counts the calls that each server received.
-	called  map[string]int
-	answers []answer
-	calls   sync.WaitGroup
+	// callsByServer counts the calls that each server received.
+	callsByServer map[string]int
+	responses     []callerResponse
+	calls         sync.WaitGroup
 }
 
 // node is one incarnation of an entry process. It implements Proposer and Backends for its entry.
 type node struct {
-	world   *world
+	cluster *cluster
 	entry   *Entry
 	replica *replica.Replica
 
@@ -80,27 +80,27 @@
 	running chan struct{}
 	paused  bool
 	dead    bool
-	// troubled reports that the process has been paused or killed, so that it is
+	// wasInterrupted reports that the process has been paused or killed, so that it is
 	// not required to meet deadlines.
-	troubled bool
+	wasInterrupted bool
 }
 
-// answer is the response that one caller received.
-type answer struct {
+// callerResponse is the response that one caller received.
+type callerResponse struct {
 	key       string
 	status    Status
 	code      int
-	took      time.Duration
+	elapsed   time.Duration
 	timeLimit time.Duration
 	node      *node
 }
 
-func newWorld(mutant mutant) *world {
-	cluster := &world{
+func newCluster(mutant mutant) *cluster {
+	cluster := &cluster{
 		mutant:        mutant,
 		runsByRequest: make(map[string]int),
 		runsByKey:     make(map[string]int),
-		called:        make(map[string]int),
+		callsByServer: make(map[string]int),
 	}
 	for range nodeCount {
 		cluster.nodes = append(cluster.nodes, nil)
@@ -115,14 +115,14 @@
 }
 
 // restart kills node i and replaces it by a new incarnation.
-func (cluster *world) restart(i int) {
+func (cluster *cluster) restart(i int) {
 	if old := cluster.nodes[i]; old != nil {
 		cluster.setDead(old)
 	}
 	settings := DefaultSettings()
 	settings.VM = fmt.Sprintf("vm%d", i)
 	logger := slog.New(slog.DiscardHandler)
-	node := &node{world: cluster, replica: replica.New(), running: make(chan struct{})}
+	node := &node{cluster: cluster, replica: replica.New(), running: make(chan struct{})}
 	close(node.running)
 	servers := fleet.New(settings.Fleet, time.Now)
 	servers.SetFleet(&wire.Fleet{Servers: []*wire.Server{
@@ -133,80 +133,80 @@
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	cluster.nodes[i] = node
-	cluster.deliver(node)
+	cluster.applyBatches(node)
 }
 
-// end stops all entries and waits for their goroutines.
-func (cluster *world) end() {
+// stopAll stops all entries and waits for their goroutines.
+func (cluster *cluster) stopAll() {
 	for _, node := range cluster.nodes {
-		node.entry.end()
+		node.entry.cancelBase()
 		node.entry.background.Wait()
 	}
 }
 
-func (cluster *world) setDead(node *node) {
+func (cluster *cluster) setDead(node *node) {
 	cluster.mu.Lock()
 	node.dead = true
-	node.troubled = true
+	node.wasInterrupted = true
 	if node.paused {
 		node.paused = false
 		close(node.running)
 	}
 	cluster.mu.Unlock()
-	node.entry.end()
+	node.entry.cancelBase()
 }
 
-func (cluster *world) pause(i int) {
+func (cluster *cluster) pause(i int) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	node := cluster.nodes[i]
-	node.troubled = true
+	node.wasInterrupted = true
 	if !node.paused {
 		node.paused = true
 		node.running = make(chan struct{})
 	}
 }
 
-func (cluster *world) wake(i int) {
+func (cluster *cluster) resume(i int) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	node := cluster.nodes[i]
 	if node.paused {
 		node.paused = false
 		close(node.running)
-		cluster.deliver(node)
+		cluster.applyBatches(node)
 	}
 }
 
 // append appends a record to the log, which loses or delays it if so configured.
-func (cluster *world) append(record *wire.Record) {
+func (cluster *cluster) append(record *wire.Record) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	if cluster.outage {
 		return
 	}
-	if cluster.late == 0 {
+	if cluster.recordDelay == 0 {
 		cluster.appendNow(record)
 		return
 	}
-	time.AfterFunc(cluster.late, func() {
+	time.AfterFunc(cluster.recordDelay, func() {
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
 		cluster.appendNow(record)
 	})
 }
 
-func (cluster *world) appendNow(record *wire.Record) {
+func (cluster *cluster) appendNow(record *wire.Record) {
 	cluster.batches = append(cluster.batches, &wire.Batch{Records: []*wire.Record{record}})
 	for _, node := range cluster.nodes {
 		if node != nil && !node.paused && !node.dead {
-			cluster.deliver(node)
+			cluster.applyBatches(node)
 		}
 	}
 }
 
-// deliver applies to the replica of a node all batches that it has not applied yet. The caller must hold mu.
-func (cluster *world) deliver(node *node) {
+// applyBatches applies to the replica of a node all batches that it has not applied yet. The caller must hold mu.
+func (cluster *cluster) applyBatches(node *node) {
 	for offset := node.replica.Next(); offset < uint64(len(cluster.batches)); offset++ {
 		err := node.replica.Apply(offset, cluster.batches[offset])
 		if err != nil {
@@ -215,9 +215,9 @@
 	}
 }
 
-// settle records the end of all running attempts, as a keeper does when their owner
+// settleRunning records the end of all running attempts, as a keeper does when their owner
 // is lost.
-func (cluster *world) settle() {
+func (cluster *cluster) settleRunning() {
 	keeperReplica := replica.New()
 	cluster.mu.Lock()
 	for offset, batch := range cluster.batches {
@@ -227,15 +227,15 @@
 	keeperReplica.View(func(state *state.State) {
 		for _, attempt := range state.Ledger.Running() {
 			cluster.append(&wire.Record{Id: "settle/" + attempt.RequestID, Body: &wire.Record_Finish{Finish: &wire.Finish{
-				Key: attempt.Key.Wire(), RequestId: attempt.RequestID, Outcome: cluster.mutant.settlesAs(),
+				Key: attempt.Key.Wire(), RequestId: attempt.RequestID, Outcome: cluster.mutant.settledOutcome(),
 			}}})
 		}
 	})
 }
 
-// await blocks while the process of the node is paused, and reports whether it has
+// awaitRunning blocks while the process of the node is paused, and reports whether it has
 // not been killed.
-func (cluster *world) await(node *node) bool {
+func (cluster *cluster) awaitRunning(node *node) bool {
 	cluster.mu.Lock()
 	running := node.running
 	cluster.mu.Unlock()
@@ -251,21 +251,21 @@
 	verdict, stop := node.replica.Await(record.GetId())
 	defer stop()
 	for {
-		if !node.world.await(node) {
+		if !node.cluster.awaitRunning(node) {
 			return fold.Verdict{}, keeperclient.ErrUnsettled
 		}
-		node.world.append(record)
+		node.cluster.append(record)
 		select {
 		case settled := <-verdict:
 			// A pause between the verdict and the dispatch is the hardest case: the
 			// key may be settled in the meantime.
-			if !node.world.await(node) {
+			if !node.cluster.awaitRunning(node) {
 				return fold.Verdict{}, keeperclient.ErrUnsettled
 			}
 			return settled, nil
 		case <-ctx.Done():
 			return fold.Verdict{}, keeperclient.ErrUnsettled
-		case <-time.After(proposeAgain):
+		case <-time.After(reproposeInterval):
 		}
 	}
 }
@@ -282,25 +282,25 @@
 
 // Call implements backend.Service.
 func (node *node) Call(ctx context.Context, address string, dispatch backend.Dispatch) ([]byte, error) {
-	cluster := node.world
-	if !cluster.await(node) || ctx.Err() != nil {
+	cluster := node.cluster
+	if !cluster.awaitRunning(node) || ctx.Err() != nil {
 		return nil, errors.New("process was killed or the call cancelled")
 	}
 	cluster.mu.Lock()
 	mode := cluster.mode
-	cluster.called[address]++
+	cluster.callsByServer[address]++
 	if mode != serverRefuses && mode != serverUnreachable {
-		cluster.runsByRequest[dispatch.Request] += cluster.mutant.sendings()
-		cluster.runsByKey[dispatch.Key] += cluster.mutant.sendings()
+		cluster.runsByRequest[dispatch.Request] += cluster.mutant.sendCount()
+		cluster.runsByKey[dispatch.Key] += cluster.mutant.sendCount()
 	}
 	cluster.mu.Unlock()
 	switch mode {
 	case serverRefuses:
-		return cluster.mutant.answer(dispatch.Body), cluster.mutant.refusal(&backend.NotRunError{Address: address, Reason: "refused"})
+		return cluster.mutant.response(dispatch.Body), cluster.mutant.refusal(&backend.NotRunError{Address: address, Reason: "refused"})
 	case serverUnreachable:
 		return nil, &backend.NotRunError{Address: address, Reason: "dial", Unreachable: true}
-	case serverLosesAnswer:
-		return nil, cluster.mutant.lostAnswer(address)
+	case serverLosesResponse:
+		return nil, cluster.mutant.lostResponse(address)
 	case serverSlow:
 		select {
 		case <-time.After(3 * time.Second):
@@ -308,11 +308,11 @@
 			return nil, errors.WithStack(ctx.Err())
 		}
 	}
-	return cluster.mutant.answer(dispatch.Body), nil
+	return cluster.mutant.response(dispatch.Body), nil
 }
 
 // submit sends a call with a key, which is not repeatable, and records the response.
-func (cluster *world) submit(i, key int, timeLimit time.Duration) {
+func (cluster *cluster) submit(i, key int, timeLimit time.Duration) {
 	node := cluster.nodes[i]
 	value := testKey(key)
 	body, err := json.Marshal(request.Call{Body: value, TimeMS: timeLimit.Milliseconds(), Repeatable: new(bool), Key: value})
@@ -320,7 +320,7 @@
 		panic(err)
 	}
 	cluster.calls.Go(func() {
-		if !cluster.await(node) {
+		if !cluster.awaitRunning(node) {
 			return
 		}
 		httpRequest := httptest.NewRequest(http.MethodPost, "/v1/services/"+testService, strings.NewReader(string(body)))
@@ -328,14 +328,14 @@
 		recorder := httptest.NewRecorder()
 		started := time.Now()
 		node.entry.Handler().ServeHTTP(recorder, httpRequest)
-		received := answer{key: value, code: recorder.Code, took: time.Since(started), timeLimit: timeLimit, node: node}
+		received := callerResponse{key: value, code: recorder.Code, elapsed: time.Since(started), timeLimit: timeLimit, node: node}
 		if json.Unmarshal(recorder.Body.Bytes(), &received.status) != nil || received.code == http.StatusForbidden {
 			return // the response was cut off, or the entry had not applied the organisation's record yet
 		}
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
 		if !node.dead {
-			cluster.answers = append(cluster.answers, received)
+			cluster.responses = append(cluster.responses, received)
 		}
 	})
 }
@@ -350,7 +350,7 @@
 }
 
 // check returns the first violated guarantee, or nil.
-func (cluster *world) check() error {
+func (cluster *cluster) check() error {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	for key, runs := range cluster.runsByKey {
@@ -358,8 +358,8 @@
 			return errors.Newf("key %s was run %d times", key, runs)
 		}
 	}
-	for _, response := range cluster.answers {
-		err := cluster.checkAnswer(response)
+	for _, response := range cluster.responses {
+		err := cluster.checkResponse(response)
 		if err != nil {
 			return err
 		}
@@ -367,7 +367,7 @@
 	return nil
 }
 
-func (cluster *world) checkAnswer(response answer) error {
+func (cluster *cluster) checkResponse(response callerResponse) error {
 	status := response.status
 	runs := cluster.runsByRequest[status.RequestID]
 	switch {
@@ -379,8 +379,8 @@
 		return errors.Newf("request %s got the response %q of another request", status.RequestID, status.Text)
 	case status.Outcome == "" && !status.Running:
 		return errors.Newf("request %s ended without an outcome: status %d", status.RequestID, response.code)
-	case response.took > response.timeLimit && !response.node.troubled:
-		return errors.Newf("request %s took %s with a time limit of %s", status.RequestID, response.took, response.timeLimit)
+	case response.elapsed > response.timeLimit && !response.node.wasInterrupted:
+		return errors.Newf("request %s took %s with a time limit of %s", status.RequestID, response.elapsed, response.timeLimit)
 	}
 	return nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,12 +35,12 @@
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 16 << 10
-	// shutdownTime limits the wait for background goroutines, and again the wait
+	// shutdownTimeout limits the wait for background goroutines, and again the wait
 	// for open connections.
-	shutdownTime = 5 * time.Second
-	// janitorTick is the interval of maintenance, and of checks whether a drain
+	shutdownTimeout = 5 * time.Second
+	// maintenanceInterval is the interval of maintenance, and of checks whether a drain
 	// is complete.
-	janitorTick = 250 * time.Millisecond
+	maintenanceInterval = 250 * time.Millisecond
 )
 
 // Backends is the client for backend servers: engines and plain services.
@@ -85,15 +85,15 @@
 	// stopping is set when the entry begins to drain: its readiness check fails,
 	// but it still admits requests.
 	stopping atomic.Bool
-	// closed is set when the entry refuses all new requests.
-	closed atomic.Bool
+	// refusing is set when the entry refuses all new requests.
+	refusing atomic.Bool
 	// background counts the goroutines that outlive the HTTP request which started
 	// them.
 	background sync.WaitGroup
-	// life is the parent of the contexts of all requests. It is cancelled when
+	// baseContext is the parent of the contexts of all requests. It is cancelled when
 	// the entry stops.
-	life context.Context //nolint:containedctx // requests outlive the calls that make them
-	end  context.CancelFunc
+	baseContext context.Context //nolint:containedctx // requests outlive the calls that make them
+	cancelBase  context.CancelFunc
 }
 
 // New returns an entry and its client for the keepers, which the caller must run.
@@ -129,13 +129,13 @@
 		retries:     retrybudget.New(retrybudget.Limits{Ratio: settings.Retry.Ratio, Burst: settings.Retry.Burst}, time.Now),
 		registry:    registry,
 		quarantine:  quarantine.New(settings.Quarantine, quarantine.Standalone{}, quarantine.Standalone{}, logger, time.Now),
-		metrics:     newMetrics(prometheus, registry.len, replica.Next),
+		metrics:     newMetrics(prometheus, registry.runningCount, replica.Next),
 		prometheus:  prometheus,
 		logger:      logger,
 		now:         time.Now,
 		peers:       &http.Client{},
-		life:        life,
-		end:         end,
+		baseContext: life,
+		cancelBase:  end,
 	}
 }
 
@@ -143,7 +143,7 @@
 // have ended or the drain time is over. It calls follow in a goroutine of its own,
 // with a context that is cancelled when the entry stops.
 func (entry *Entry) Run(ctx context.Context, follow func(context.Context)) error {
-	defer entry.end()
+	defer entry.cancelBase()
 	server := &http.Server{
 		Addr:              entry.settings.Address,
 		Handler:           entry.Handler(),
@@ -153,20 +153,20 @@
 	}
 	group := &errgroup.Group{}
 	group.Go(func() error {
-		follow(entry.life)
+		follow(entry.baseContext)
 		return nil
 	})
 	group.Go(func() error {
-		entry.clean(entry.life)
+		entry.runMaintenance(entry.baseContext)
 		return nil
 	})
 	group.Go(func() error {
-		entry.quarantine.Run(entry.life, true)
+		entry.quarantine.Run(entry.baseContext, true)
 		return nil
 	})
 	group.Go(func() error {
 		err := server.ListenAndServe()
-		entry.end()
+		entry.cancelBase()
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
@@ -184,16 +184,16 @@
 // drain time is over.
 func (entry *Entry) drain(server *http.Server) {
 	entry.stopping.Store(true)
-	entry.logger.Info("entry draining", "running", entry.registry.len())
-	wait.For(entry.life, entry.settings.Admission.DrainNotice)
-	entry.closed.Store(true)
-	deadline := entry.now().Add(entry.settings.Admission.DrainTime)
-	for entry.registry.len() > 0 && entry.now().Before(deadline) {
-		wait.For(entry.life, janitorTick)
+	entry.logger.Info("entry draining", "running", entry.registry.runningCount())
+	wait.For(entry.baseContext, entry.settings.Admission.RefuseDelay)
+	entry.refusing.Store(true)
+	deadline := entry.now().Add(entry.settings.Admission.DrainTimeout)
+	for entry.registry.runningCount() > 0 && entry.now().Before(deadline) {
+		wait.For(entry.baseContext, maintenanceInterval)
 	}
-	entry.waitBackground(shutdownTime)
-	entry.logger.Info("entry shutting down", "running", entry.registry.len())
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	entry.waitBackground(shutdownTimeout)
+	entry.logger.Info("entry shutting down", "running", entry.registry.runningCount())
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(shutdownCtx)
 	_ = server.Close()
@@ -211,28 +211,28 @@
 	}
 }
 
-// clean runs until ctx is done. It periodically cancels requests whose response is
+// runMaintenance runs until ctx is done. It periodically cancels requests whose response is
 // not read, and removes ended requests after their retention time.
-func (entry *Entry) clean(ctx context.Context) {
-	ticker := time.NewTicker(janitorTick)
+func (entry *Entry) runMaintenance(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			entry.cleanOnce(entry.now())
+			entry.maintain(entry.now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (entry *Entry) cleanOnce(now time.Time) {
-	for _, active := range entry.registry.list() {
-		if active.mayBeDropped() && active.buffer.UnreadSince(now.Add(-entry.settings.Relay.DetachGrace)) {
+func (entry *Entry) maintain(now time.Time) {
+	for _, active := range entry.registry.runningRequests() {
+		if active.cancellableWhenUnread() && active.buffer.UnreadSince(now.Add(-entry.settings.Relay.DetachGrace)) {
 			active.cancel(errCallerGone)
 		}
 	}
-	entry.registry.forget(now.Add(-entry.settings.Relay.KeepEnded))
+	entry.registry.removeEndedBefore(now.Add(-entry.settings.Relay.EndedRetention))
 }
 
 // random returns a random number generator for one routing decision.
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -28,10 +28,10 @@
 // KindPlan is the effect of an evacuation on the backend servers of one kind.
 type KindPlan struct {
 	Kind string `json:"kind"`
-	// There is the number of listed servers in the data centre, and Remaining the number of servers in other data
+	// InDataCentre is the number of listed servers in the data centre, and Remaining the number of servers in other data
 	// centres that would still get requests.
-	There int `json:"there"`
-	Left  int `json:"left"`
+	InDataCentre int `json:"there"`
+	Remaining    int `json:"left"`
 }
 
 // configuration returns the configuration in force. The returned value is immutable.
@@ -61,7 +61,7 @@
 	if !known {
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_BeginEvacuation{BeginEvacuation: &wire.BeginEvacuation{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_BeginEvacuation{BeginEvacuation: &wire.BeginEvacuation{
 		DataCentre: plan.DataCentre,
 	}}})
 }
@@ -71,7 +71,7 @@
 	if !ok {
 		return
 	}
-	entry.change(w, r, &wire.Record{Body: &wire.Record_EndEvacuation{EndEvacuation: &wire.EndEvacuation{
+	entry.proposeChange(w, r, &wire.Record{Body: &wire.Record_EndEvacuation{EndEvacuation: &wire.EndEvacuation{
 		DataCentre: mux.Vars(r)["name"], ExpectedVersion: version,
 	}}})
 }
@@ -88,12 +88,12 @@
 		for _, server := range entry.fleet.Snapshot(kind, evacuated).Servers {
 			switch {
 			case server.DataCentre == plan.DataCentre:
-				planned.There++
+				planned.InDataCentre++
 			case !server.Leaving:
-				planned.Left++
+				planned.Remaining++
 			}
 		}
-		if planned.There > 0 {
+		if planned.InDataCentre > 0 {
 			plan.Kinds = append(plan.Kinds, planned)
 		}
 	}
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -16,8 +16,8 @@
 	"github.com/mastwinch/mastwinch/internal/request"
 )
 
-// ask sends an HTTP request to the entry of the node, and returns the status and the body of the response.
-func (node *node) ask(method, path, body string) (int, string) {
+// sendRequest sends an HTTP request to the entry of the node, and returns the status and the body of the response.
+func (node *node) sendRequest(method, path, body string) (int, string) {
 	httpRequest := httptest.NewRequest(method, path, strings.NewReader(body))
 	httpRequest.Header.Set(HeaderOrganisation, testOrganisation)
 	recorder := httptest.NewRecorder()
@@ -25,32 +25,32 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// call sends the given number of service calls to the entries in turn. It returns the number of calls that each server
+// callService sends the given number of service calls to the entries in turn. It returns the number of calls that each server
 // received, and the number of completed calls.
-func (cluster *world) call(t *testing.T, times int) (called map[string]int, completed int) {
+func (cluster *cluster) callService(t *testing.T, times int) (called map[string]int, completed int) {
 	t.Helper()
 	cluster.mu.Lock()
-	cluster.called = make(map[string]int)
+	cluster.callsByServer = make(map[string]int)
 	cluster.mu.Unlock()
 	for number := range times {
 		repeatable := true
 		body, err := json.Marshal(request.Call{Body: "b", TimeMS: time.Second.Milliseconds(), Repeatable: &repeatable})
 		assert.NilError(t, err)
-		status, _ := cluster.nodes[number%nodeCount].ask(http.MethodPost, "/v1/services/"+testService, string(body))
+		status, _ := cluster.nodes[number%nodeCount].sendRequest(http.MethodPost, "/v1/services/"+testService, string(body))
 		if status == http.StatusOK {
 			completed++
 		}
 	}
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	return cluster.called, completed
+	return cluster.callsByServer, completed
 }
 
-// change requests a configuration change at the entry of the node. It returns the version of the change, or the HTTP
+// requestChange requests a configuration change at the entry of the node. It returns the version of the change, or the HTTP
 // status of the refusal.
-func (node *node) change(t *testing.T, method, path string) (version uint64, refusedStatus int) {
+func (node *node) requestChange(t *testing.T, method, path string) (version uint64, refusedStatus int) {
 	t.Helper()
-	status, body := node.ask(method, path, "")
+	status, body := node.sendRequest(method, path, "")
 	if status != http.StatusOK {
 		return 0, status
 	}
@@ -64,39 +64,39 @@
 // calls again.
 func TestEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := newWorld(noMutant{})
-		defer cluster.end()
+		cluster := newCluster(noMutant{})
+		defer cluster.stopAll()
 		adminNode := cluster.nodes[0]
-		called, completed := cluster.call(t, 30)
+		called, completed := cluster.callService(t, 30)
 		assert.Equal(t, completed, 30)
 		assert.Equal(t, len(called), 2)
 
-		_, refused := adminNode.change(t, http.MethodPut, "/v1/admin/evacuations/nowhere")
+		_, refused := adminNode.requestChange(t, http.MethodPut, "/v1/admin/evacuations/nowhere")
 		assert.Equal(t, refused, http.StatusNotFound)
-		north, refused := adminNode.change(t, http.MethodPut, "/v1/admin/evacuations/north")
+		north, refused := adminNode.requestChange(t, http.MethodPut, "/v1/admin/evacuations/north")
 		assert.Equal(t, refused, 0)
-		_, refused = cluster.nodes[1].change(t, http.MethodPut, "/v1/admin/evacuations/north")
+		_, refused = cluster.nodes[1].requestChange(t, http.MethodPut, "/v1/admin/evacuations/north")
 		assert.Equal(t, refused, http.StatusConflict)
-		called, completed = cluster.call(t, 30)
+		called, completed = cluster.callService(t, 30)
 		assert.Equal(t, completed, 30)
 		assert.DeepEqual(t, called, map[string]int{"receipts-1": 30})
 
-		status, body := cluster.nodes[2].ask(http.MethodGet, "/v1/admin/evacuations/south", "")
+		status, body := cluster.nodes[2].sendRequest(http.MethodGet, "/v1/admin/evacuations/south", "")
 		assert.Equal(t, status, http.StatusOK)
 		var plan EvacuationPlan
 		assert.NilError(t, json.Unmarshal([]byte(body), &plan))
-		assert.DeepEqual(t, plan, EvacuationPlan{DataCentre: "south", Kinds: []KindPlan{{Kind: infra.KindService, There: 1}}})
-		_, refused = adminNode.change(t, http.MethodPut, "/v1/admin/evacuations/south")
+		assert.DeepEqual(t, plan, EvacuationPlan{DataCentre: "south", Kinds: []KindPlan{{Kind: infra.KindService, InDataCentre: 1}}})
+		_, refused = adminNode.requestChange(t, http.MethodPut, "/v1/admin/evacuations/south")
 		assert.Equal(t, refused, 0)
-		called, completed = cluster.call(t, 3)
+		called, completed = cluster.callService(t, 3)
 		assert.Equal(t, completed, 0)
 		assert.Equal(t, len(called), 0)
 
-		_, refused = adminNode.change(t, http.MethodDelete, "/v1/admin/evacuations/north?version=1")
+		_, refused = adminNode.requestChange(t, http.MethodDelete, "/v1/admin/evacuations/north?version=1")
 		assert.Equal(t, refused, http.StatusConflict)
-		_, refused = adminNode.change(t, http.MethodDelete, fmt.Sprintf("/v1/admin/evacuations/north?version=%d", north))
+		_, refused = adminNode.requestChange(t, http.MethodDelete, fmt.Sprintf("/v1/admin/evacuations/north?version=%d", north))
 		assert.Equal(t, refused, 0)
-		called, completed = cluster.call(t, 30)
+		called, completed = cluster.callService(t, 30)
 		assert.Equal(t, completed, 30)
 		assert.DeepEqual(t, called, map[string]int{"receipts-0": 30})
 	})
--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -15,34 +15,34 @@
 
 // Limits on the search for a request that another entry admitted.
 const (
-	ownerTimeout   = 2 * time.Second
-	searchTimeout  = 3 * time.Second
-	searchParallel = 32
-	copyBytes      = 16 << 10
+	ownerTimeout        = 2 * time.Second
+	searchTimeout       = 3 * time.Second
+	maxParallelSearches = 32
+	copyBufferBytes     = 16 << 10
 )
 
-// errLost is returned for a request of which no engine holds a stream.
-var errLost = errors.New("no engine holds a stream of the request")
+// errStreamNotFound is returned for a request of which no engine holds a stream.
+var errStreamNotFound = errors.New("no engine holds a stream of the request")
 
 func (entry *Entry) handleFetch(w http.ResponseWriter, r *http.Request) {
-	organisation, ok := entry.organisation(w, r)
+	organisation, ok := entry.callerOrganisation(w, r)
 	if !ok {
 		return
 	}
 	id := mux.Vars(r)["id"]
-	found, done := entry.find(w, r, organisation.Name, relay.Position{Seq: -1})
+	found, done := entry.findRequest(w, r, organisation.Name, relay.Position{Seq: -1})
 	if done {
 		return
 	}
 	if found == nil {
-		entry.answerLost(w, organisation.Name, id)
+		entry.respondNotFound(w, organisation.Name, id)
 		return
 	}
 	writeJSON(w, http.StatusOK, statusOf(found))
 }
 
 func (entry *Entry) handleResume(w http.ResponseWriter, r *http.Request) {
-	organisation, ok := entry.organisation(w, r)
+	organisation, ok := entry.callerOrganisation(w, r)
 	if !ok {
 		return
 	}
@@ -56,28 +56,28 @@
 		}
 		last = parsed
 	}
-	found, done := entry.find(w, r, organisation.Name, last)
+	found, done := entry.findRequest(w, r, organisation.Name, last)
 	if done {
 		return
 	}
 	if found == nil || found.buffer.Base > last.Seq+1 {
-		entry.answerLost(w, organisation.Name, id)
+		entry.respondNotFound(w, organisation.Name, id)
 		return
 	}
-	entry.answerStream(w, r, found, last.Seq+1)
+	entry.respondStream(w, r, found, last.Seq+1)
 }
 
 func (entry *Entry) handleCancel(w http.ResponseWriter, r *http.Request) {
-	organisation, ok := entry.organisation(w, r)
+	organisation, ok := entry.callerOrganisation(w, r)
 	if !ok {
 		return
 	}
-	found, done := entry.find(w, r, organisation.Name, relay.Position{Seq: -1})
+	found, done := entry.findRequest(w, r, organisation.Name, relay.Position{Seq: -1})
 	if done {
 		return
 	}
 	if found == nil {
-		entry.answerLost(w, organisation.Name, mux.Vars(r)["id"])
+		entry.respondNotFound(w, organisation.Name, mux.Vars(r)["id"])
 		return
 	}
 	found.cancel(errCancelled)
@@ -95,13 +95,13 @@
 	}
 }
 
-// find returns the request named in the path: from the registry of this entry,
+// findRequest returns the request named in the path: from the registry of this entry,
 // or by adopting its stream from an engine. A request that another entry admitted
 // is first forwarded to that entry. find reports true if it has written the
 // response itself, and returns nil and false if the request was not found.
-func (entry *Entry) find(
+func (entry *Entry) findRequest(
 	w http.ResponseWriter, r *http.Request, organisation string, last relay.Position,
-) (*active, bool) {
+) (*activeRequest, bool) {
 	id := mux.Vars(r)["id"]
 	owner, err := request.OwnerOf(id)
 	if err != nil {
@@ -153,11 +153,11 @@
 	if response.StatusCode == http.StatusGone {
 		return false // the VM was replaced since it admitted the request
 	}
-	copyAnswer(w, response)
+	copyResponse(w, response)
 	return true
 }
 
-func copyAnswer(w http.ResponseWriter, response *http.Response) {
+func copyResponse(w http.ResponseWriter, response *http.Response) {
 	for _, name := range []string{"Content-Type", "Cache-Control", HeaderRequestID, headerRetry} {
 		if value := response.Header.Get(name); value != "" {
 			w.Header().Set(name, value)
@@ -165,7 +165,7 @@
 	}
 	w.WriteHeader(response.StatusCode)
 	controller := http.NewResponseController(w)
-	chunk := make([]byte, copyBytes)
+	chunk := make([]byte, copyBufferBytes)
 	for {
 		n, err := response.Body.Read(chunk)
 		if n > 0 {
@@ -180,16 +180,16 @@
 	}
 }
 
-// answerLost writes the response for a request that was not found: its state in
+// respondNotFound writes the response for a request that was not found: its state in
 // the log if the organisation has a key recorded for it, and otherwise that it may
 // have run.
-func (entry *Entry) answerLost(w http.ResponseWriter, organisation, id string) {
-	attempt, ok := entry.attemptOf(id)
+func (entry *Entry) respondNotFound(w http.ResponseWriter, organisation, id string) {
+	attempt, ok := entry.attemptOfRequest(id)
 	switch {
 	case ok && attempt.Key.Organisation == organisation && attempt.Running():
 		writeJSON(w, http.StatusOK, Status{RequestID: id, Running: true})
 	case ok && attempt.Key.Organisation == organisation:
-		outcome := request.OutcomeOf(attempt.Outcome, attempt.Reason, attempt.Server)
+		outcome := request.OutcomeFromWire(attempt.Outcome, attempt.Reason, attempt.Server)
 		writeJSON(w, http.StatusOK, statusOfOutcome(id, outcome))
 	default:
 		outcome := request.MayHaveRun(request.ReasonOwnerLost)
@@ -197,13 +197,13 @@
 	}
 }
 
-// answerDuplicate writes the response to a submission whose key was submitted
+// respondDuplicate writes the response to a submission whose key was submitted
 // before. earlier is the attempt that was granted the key.
-func (entry *Entry) answerDuplicate(w http.ResponseWriter, submitted request.Request, earlier ledger.Attempt) {
+func (entry *Entry) respondDuplicate(w http.ResponseWriter, submitted request.Request, earlier ledger.Attempt) {
 	entry.logger.Info("duplicate submission of a key", "request_id", submitted.ID, "key", submitted.Key.Value,
 		"first_request_id", earlier.RequestID, "outcome", earlier.Outcome)
 	if earlier.ContentDigest != submitted.Digest() {
-		writeOutcome(w, Status{RequestID: submitted.ID}, request.NotRun(request.ReasonKeyContent, 0))
+		writeOutcome(w, Status{RequestID: submitted.ID}, request.NotRun(request.ReasonKeyContentDiffers, 0))
 		return
 	}
 	w.Header().Set(HeaderRequestID, earlier.RequestID)
@@ -217,6 +217,6 @@
 		status = statusOf(found)
 		status.Duplicate = true
 	}
-	outcome := request.OutcomeOf(earlier.Outcome, earlier.Reason, earlier.Server)
+	outcome := request.OutcomeFromWire(earlier.Outcome, earlier.Reason, earlier.Server)
 	writeJSON(w, http.StatusOK, withOutcome(status, outcome))
 }
--- a/internal/entry/forwarder.go
+++ b/internal/entry/forwarder.go
@@ -25,15 +25,15 @@
 // Bounds of the margin that is reserved for sending the outcome: the time limit of
 // the request divided by marginDivisor, at least marginMin and at most marginMax.
 const (
-	marginPart = 20
-	marginMin  = 10 * time.Millisecond
-	marginMax  = 200 * time.Millisecond
+	marginDivisor = 20
+	marginMin     = 10 * time.Millisecond
+	marginMax     = 200 * time.Millisecond
 )
 
-// run forwards one request to backend servers until it has an outcome. It is used
+// forwarder forwards one request to backend servers until it has an outcome. It is used
 // by one goroutine.
-type run struct {
-	*active
+type forwarder struct {
+	*activeRequest
 
 	entry *Entry
 	// fence is the fencing token of a request with a key, or zero.
@@ -42,9 +42,9 @@
 	attempts int
 	// sending is the current attempt in the load accounting of the fleet.
 	sending fleet.ActiveRequest
-	// tried lists the servers that failed, which are excluded from routing. It is
+	// triedServers lists the servers that failed, which are excluded from routing. It is
 	// cleared when no other server is left.
-	tried []string
+	triedServers []string
 	// fingerprint identifies the content of the request across retries by callers.
 	fingerprint fingerprint.Fingerprint
 	// mayHaveRun reports that a server may have run the request, in part or
@@ -52,20 +52,20 @@
 	mayHaveRun bool
 }
 
-// margin returns how long before its deadline a request with the given time limit
+// outcomeMargin returns how long before its deadline a request with the given time limit
 // gets its outcome.
-func margin(timeLimit time.Duration) time.Duration {
-	return min(max(timeLimit/marginPart, marginMin), marginMax)
+func outcomeMargin(timeLimit time.Duration) time.Duration {
+	return min(max(timeLimit/marginDivisor, marginMin), marginMax)
 }
 
-// start runs an admitted request in the background, and calls release when the
+// startRequest runs an admitted request in the background, and calls release when the
 // request has ended.
-func (entry *Entry) start(admitted request.Request, release func()) *active {
+func (entry *Entry) startRequest(admitted request.Request, release func()) *activeRequest {
 	now := entry.now()
-	deadline := now.Add(admitted.Time)
-	cancellableCtx, cancel := context.WithCancelCause(entry.life)
-	ctx, stop := context.WithDeadline(cancellableCtx, deadline.Add(-margin(admitted.Time)))
-	started := &active{
+	deadline := now.Add(admitted.TimeLimit)
+	cancellableCtx, cancel := context.WithCancelCause(entry.baseContext)
+	ctx, stop := context.WithDeadline(cancellableCtx, deadline.Add(-outcomeMargin(admitted.TimeLimit)))
+	started := &activeRequest{
 		request:  admitted,
 		buffer:   relay.NewBuffer(0, now),
 		deadline: deadline,
@@ -77,8 +77,8 @@
 		defer cancel(nil)
 		defer stop()
 		defer release()
-		forwarder := &run{active: started, entry: entry, fingerprint: fingerprintOf(admitted)}
-		entry.settle(started, forwarder.execute(ctx))
+		forwarder := &forwarder{activeRequest: started, entry: entry, fingerprint: fingerprintOf(admitted)}
+		entry.recordEnd(started, forwarder.forward(ctx))
 	})
 	return started
 }
@@ -91,12 +91,12 @@
 	})
 }
 
-// settle sends the outcome to the callers that read the response, stores the
+// recordEnd sends the outcome to the callers that read the response, stores the
 // response and records the outcome of a request with a key.
-func (entry *Entry) settle(ended *active, outcome request.Outcome) {
+func (entry *Entry) recordEnd(ended *activeRequest, outcome request.Outcome) {
 	ended.buffer.End(outcome, entry.now())
-	entry.registry.end(ended)
-	entry.metrics.end(outcome)
+	entry.registry.moveToEnded(ended)
+	entry.metrics.recordEnd(outcome)
 	if !ended.request.Repeatable {
 		entry.recordFinish(ended.request.WithoutBody(), outcome)
 	}
@@ -104,38 +104,38 @@
 		"reason", outcome.Reason, "tokens", ended.buffer.Next())
 }
 
-// execute dispatches the request until it has an outcome.
-func (forwarder *run) execute(ctx context.Context) request.Outcome {
+// forward dispatches the request until it has an outcome.
+func (forwarder *forwarder) forward(ctx context.Context) request.Outcome {
 	if !forwarder.request.Repeatable {
-		outcome, granted := forwarder.begin(ctx)
+		outcome, granted := forwarder.claimKey(ctx)
 		if !granted {
 			return outcome
 		}
 	}
 	for {
 		if ctx.Err() != nil {
-			return forwarder.interrupted(ctx)
+			return forwarder.interruptedOutcome(ctx)
 		}
 		if remaining := forwarder.entry.quarantine.Remaining(forwarder.fingerprint); remaining > 0 {
-			return forwarder.failed(request.ReasonCrashesServers, remaining)
+			return forwarder.failureOutcome(request.ReasonCrashesServers, remaining)
 		}
-		decision := forwarder.decide()
+		decision := forwarder.route()
 		if decision.Refusal != routing.RefusalNone {
-			if outcome, final := forwarder.refused(decision.Refusal); final {
+			if outcome, final := forwarder.refusalOutcome(decision.Refusal); final {
 				return outcome
 			}
-			wait.For(ctx, forwarder.entry.settings.Retry.Pause)
+			wait.For(ctx, forwarder.entry.settings.Retry.Delay)
 			continue
 		}
-		result := forwarder.attempt(ctx, decision)
-		if outcome, final := forwarder.conclude(ctx, result); final {
+		result := forwarder.send(ctx, decision)
+		if outcome, final := forwarder.handleResult(ctx, result); final {
 			return outcome
 		}
 	}
 }
 
-// decide returns the decision of the routing policy, and logs it.
-func (forwarder *run) decide() routing.Decision {
+// route returns the decision of the routing policy, and logs it.
+func (forwarder *forwarder) route() routing.Decision {
 	entry := forwarder.entry
 	kind := infra.KindEngine
 	policy := entry.policy
@@ -162,64 +162,64 @@
 
 // routingRequest returns the input of the routing policy. The memory use of a call
 // to a plain service is unknown, so it is left at zero.
-func (forwarder *run) routingRequest() routing.Request {
+func (forwarder *forwarder) routingRequest() routing.Request {
 	if forwarder.request.Service {
-		return routing.Request{Model: forwarder.request.Model, TimeLeft: forwarder.timeLeft(), Tried: forwarder.tried}
+		return routing.Request{Model: forwarder.request.Model, TimeLeft: forwarder.timeLeft(), Tried: forwarder.triedServers}
 	}
 	return routing.Request{
 		Model:     forwarder.request.Model,
 		Tokens:    forwarder.request.Tokens() + forwarder.buffer.Next(),
 		MaxTokens: max(0, forwarder.request.MaxTokens-forwarder.buffer.Next()),
 		TimeLeft:  forwarder.timeLeft(),
-		Tried:     forwarder.tried,
+		Tried:     forwarder.triedServers,
 	}
 }
 
-func (forwarder *run) timeLeft() time.Duration {
+func (forwarder *forwarder) timeLeft() time.Duration {
 	return forwarder.deadline.Sub(forwarder.entry.now())
 }
 
-// refused returns the outcome of a request for which no server was chosen. It
+// refusalOutcome returns the outcome of a request for which no server was chosen. It
 // reports false if the request should be routed again, because servers were
 // excluded after earlier failures.
-func (forwarder *run) refused(refusal routing.Refusal) (request.Outcome, bool) {
-	if refusal == routing.RefusalNoServer && len(forwarder.tried) > 0 {
-		forwarder.tried = nil
+func (forwarder *forwarder) refusalOutcome(refusal routing.Refusal) (request.Outcome, bool) {
+	if refusal == routing.RefusalNoServer && len(forwarder.triedServers) > 0 {
+		forwarder.triedServers = nil
 		return request.Outcome{}, false
 	}
 	retryAfter := forwarder.entry.settings.Admission.RetryAfter
 	switch refusal {
 	case routing.RefusalDeadline:
-		return forwarder.failed(request.ReasonNoTime, retryAfter), true
+		return forwarder.failureOutcome(request.ReasonInsufficientTime, retryAfter), true
 	case routing.RefusalTooLong:
-		return forwarder.failed(request.ReasonTooLong, 0), true
+		return forwarder.failureOutcome(request.ReasonPromptTooLong, 0), true
 	default:
-		return forwarder.failed(request.ReasonNoServer, retryAfter), true
+		return forwarder.failureOutcome(request.ReasonNoServer, retryAfter), true
 	}
 }
 
-// failed returns the outcome of a request that ends without a complete response:
+// failureOutcome returns the outcome of a request that ends without a complete response:
 // whether it may have run depends on the attempts so far.
-func (forwarder *run) failed(reason request.Reason, retryAfter time.Duration) request.Outcome {
+func (forwarder *forwarder) failureOutcome(reason request.Reason, retryAfter time.Duration) request.Outcome {
 	if forwarder.mayHaveRun {
 		return request.MayHaveRun(reason)
 	}
 	return request.NotRun(reason, retryAfter)
 }
 
-// interrupted returns the outcome of a request whose context has ended: by its
+// interruptedOutcome returns the outcome of a request whose context has ended: by its
 // deadline, by cancellation or because the entry stops.
-func (forwarder *run) interrupted(ctx context.Context) request.Outcome {
+func (forwarder *forwarder) interruptedOutcome(ctx context.Context) request.Outcome {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errCancelled):
-		return forwarder.failed(request.ReasonCancelled, 0)
+		return forwarder.failureOutcome(request.ReasonCancelled, 0)
 	case errors.Is(cause, errCallerGone):
-		return forwarder.failed(request.ReasonCallerGone, 0)
+		return forwarder.failureOutcome(request.ReasonCallerGone, 0)
 	case errors.Is(cause, context.DeadlineExceeded):
-		return forwarder.failed(request.ReasonDeadline, forwarder.entry.settings.Admission.RetryAfter)
+		return forwarder.failureOutcome(request.ReasonDeadline, forwarder.entry.settings.Admission.RetryAfter)
 	default:
-		return forwarder.failed(request.ReasonStopping, forwarder.entry.settings.Admission.RetryAfter)
+		return forwarder.failureOutcome(request.ReasonStopping, forwarder.entry.settings.Admission.RetryAfter)
 	}
 }
 
@@ -234,9 +234,9 @@
 	// resultUncertain means that the server may have run the request, in part or
 	// completely.
 	resultUncertain resultKind = "uncertain"
-	// resultEnded means that the server ended the request itself, because of its
+	// resultEndedByServer means that the server ended the request itself, because of its
 	// deadline or because it was cancelled there.
-	resultEnded resultKind = "ended"
+	resultEndedByServer resultKind = "ended"
 )
 
 // result is the result of one attempt.
@@ -245,15 +245,15 @@
 	reason request.Reason
 	// server is the ID of the server that responded or failed.
 	server string
-	// lost reports that the connection to the server broke and could not be re-established;
+	// connectionLost reports that the connection to the server broke and could not be re-established;
 	// receivedToken reports that tokens of this attempt were received before.
-	lost, ran bool
-	err       error
+	connectionLost, receivedToken bool
+	err                           error
 }
 
-// conclude handles the result of an attempt. It returns the outcome of the request,
+// handleResult handles the result of an attempt. It returns the outcome of the request,
 // or reports false if the request should be attempted again.
-func (forwarder *run) conclude(ctx context.Context, result result) (request.Outcome, bool) {
+func (forwarder *forwarder) handleResult(ctx context.Context, result result) (request.Outcome, bool) {
 	entry := forwarder.entry
 	entry.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	switch result.kind {
@@ -262,33 +262,33 @@
 		entry.quarantine.RecordCompletion(forwarder.fingerprint, result.server)
 		return request.Completed(result.server), true
 	case resultInterrupted:
-		return forwarder.interrupted(ctx), true
-	case resultEnded:
-		return forwarder.failed(result.reason, entry.settings.Admission.RetryAfter), true
+		return forwarder.interruptedOutcome(ctx), true
+	case resultEndedByServer:
+		return forwarder.failureOutcome(result.reason, entry.settings.Admission.RetryAfter), true
 	}
-	if result.lost {
-		entry.quarantine.RecordLoss(quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: result.server, HadEvent: result.ran})
+	if result.connectionLost {
+		entry.quarantine.RecordLoss(quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: result.server, HadEvent: result.receivedToken})
 	}
 	ejected := entry.fleet.MarkFailed(result.server)
 	entry.logger.Warn("attempt failed", "request_id", forwarder.request.ID, "attempt", forwarder.attempts-1,
-		"server", result.server, "result", result.kind, "lost", result.lost,
+		"server", result.server, "result", result.kind, "lost", result.connectionLost,
 		"fingerprint", forwarder.fingerprint, "ejected", ejected, "error", result.err)
-	forwarder.tried = append(forwarder.tried, result.server)
+	forwarder.triedServers = append(forwarder.triedServers, result.server)
 	retryAfter := entry.settings.Admission.RetryAfter
 	switch {
 	case result.kind == resultUncertain && !forwarder.request.Repeatable:
-		return forwarder.failed(result.reason, retryAfter), true
+		return forwarder.failureOutcome(result.reason, retryAfter), true
 	case forwarder.attempts >= entry.settings.Retry.MaxAttempts:
-		return forwarder.failed(result.reason, retryAfter), true
+		return forwarder.failureOutcome(result.reason, retryAfter), true
 	case !entry.retries.Spend():
-		return forwarder.failed(request.ReasonRetryBudget, retryAfter), true
+		return forwarder.failureOutcome(request.ReasonRetryBudget, retryAfter), true
 	}
 	return request.Outcome{}, false
 }
 
-// mayBeDropped reports whether the request may be cancelled when no caller reads
+// cancellableWhenUnread reports whether the request may be cancelled when no caller reads
 // its response.
-func (activerequest *active) mayBeDropped() bool {
+func (activerequest *activeRequest) cancellableWhenUnread() bool {
 	streamed := activerequest.request.Mode == request.ModeStream
 	return streamed && activerequest.request.Repeatable && !activerequest.request.Service
 }
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// finishTime is the timeout for recording the outcome of a request, which no
+	// finishTimeout is the timeout for recording the outcome of a request, which no
 	// caller waits for.
-	finishTime = 2 * time.Minute
-	// abandonTime is how long the log is watched for an abandoned begin record. If
+	finishTimeout = 2 * time.Minute
+	// abandonedWatchTime is how long the log is watched for an abandoned begin record. If
 	// the record takes effect later, a keeper settles the request as one that may
 	// have run.
-	abandonTime = 10 * time.Minute
+	abandonedWatchTime = 10 * time.Minute
 )
 
-// begin proposes a begin record, which grants the right to dispatch a request with
+// claimKey proposes a begin record, which grants the right to dispatch a request with
 // a key. If the key is not granted, it returns the outcome of the request, which
 // was not run, and reports false.
-func (forwarder *run) begin(ctx context.Context) (request.Outcome, bool) {
+func (forwarder *forwarder) claimKey(ctx context.Context) (request.Outcome, bool) {
 	entry := forwarder.entry
 	record := forwarder.beginRecord()
 	verdict, err := entry.proposer.Propose(ctx, record)
 	if err != nil {
 		// The record may still take effect. That is safe: only this request could
 		// be dispatched for it, and it ends here.
-		entry.abandon(forwarder.request.WithoutBody(), record)
-		outcome := forwarder.interrupted(ctx)
+		entry.watchAbandoned(forwarder.request.WithoutBody(), record)
+		outcome := forwarder.interruptedOutcome(ctx)
 		if outcome.Reason == request.ReasonDeadline {
 			outcome.Reason = request.ReasonLogUnavailable
 		}
@@ -44,10 +44,10 @@
 		forwarder.fence = uint64(verdict.Version)
 		return request.Outcome{}, true
 	}
-	return request.NotRun(refusalReason(verdict.Reason), 0), false
+	return request.NotRun(keyRefusalReason(verdict.Reason), 0), false
 }
 
-func (forwarder *run) beginRecord() *wire.Record {
+func (forwarder *forwarder) beginRecord() *wire.Record {
 	var expected fold.Version
 	forwarder.entry.replica.View(func(state *state.State) {
 		if attempt, ok := state.Ledger.Get(forwarder.request.Key); ok {
@@ -61,32 +61,32 @@
 			RequestId:       forwarder.request.ID,
 			Owner:           forwarder.entry.incarnation,
 			ExpectedVersion: uint64(expected),
-			TimeMs:          uint64(forwarder.request.Time.Milliseconds()), //nolint:gosec // checked to be positive
+			TimeMs:          uint64(forwarder.request.TimeLimit.Milliseconds()), //nolint:gosec // checked to be positive
 			ContentDigest:   forwarder.request.Digest(),
 		}},
 	}
 }
 
-func refusalReason(reason fold.Reason) request.Reason {
+func keyRefusalReason(reason fold.Reason) request.Reason {
 	switch reason {
 	case fold.ReasonKeyExpired:
 		return request.ReasonKeyExpired
 	case fold.ReasonContentDiffers:
-		return request.ReasonKeyContent
+		return request.ReasonKeyContentDiffers
 	default:
 		return request.ReasonKeyConflict
 	}
 }
 
-// abandon watches the log, in the background, for the begin record of a request
+// watchAbandoned watches the log, in the background, for the begin record of a request
 // that has ended, and releases the key if it is granted after all.
-func (entry *Entry) abandon(abandoned request.Request, begin *wire.Record) {
+func (entry *Entry) watchAbandoned(abandoned request.Request, begin *wire.Record) {
 	entry.background.Go(func() {
-		ctx, cancel := context.WithTimeout(entry.life, abandonTime)
+		ctx, cancel := context.WithTimeout(entry.baseContext, abandonedWatchTime)
 		defer cancel()
 		for {
 			moved := entry.replica.Changed()
-			if entry.owns(abandoned) {
+			if entry.holdsKey(abandoned) {
 				entry.proposeFinish(ctx, abandoned, request.NotRun(request.ReasonLogUnavailable, 0))
 				return
 			}
@@ -100,14 +100,14 @@
 	})
 }
 
-// owns reports whether the key of a request is granted to it and its outcome is
+// holdsKey reports whether the key of a request is granted to it and its outcome is
 // not recorded yet.
-func (entry *Entry) owns(granted request.Request) bool {
-	attempt, ok := entry.attemptOf(granted.ID)
+func (entry *Entry) holdsKey(granted request.Request) bool {
+	attempt, ok := entry.attemptOfRequest(granted.ID)
 	return ok && attempt.Running()
 }
 
-func (entry *Entry) attemptOf(requestID string) (ledger.Attempt, bool) {
+func (entry *Entry) attemptOfRequest(requestID string) (ledger.Attempt, bool) {
 	var attempt ledger.Attempt
 	var ok bool
 	entry.replica.View(func(state *state.State) {
@@ -120,11 +120,11 @@
 // background, so that the response is not delayed. A request that was not run and
 // was not granted its key has nothing to record.
 func (entry *Entry) recordFinish(ended request.Request, outcome request.Outcome) {
-	if !entry.owns(ended) && outcome.Kind == request.KindFailedNotRun {
+	if !entry.holdsKey(ended) && outcome.Kind == request.KindFailedNotRun {
 		return
 	}
 	entry.background.Go(func() {
-		ctx, cancel := context.WithTimeout(entry.life, finishTime)
+		ctx, cancel := context.WithTimeout(entry.baseContext, finishTimeout)
 		defer cancel()
 		entry.proposeFinish(ctx, ended, outcome)
 	})
@@ -147,9 +147,9 @@
 	}
 }
 
-// earlier returns the attempt that was granted the key and has not released it, if
+// grantedAttempt returns the attempt that was granted the key and has not released it, if
 // there is one. The key cannot be submitted again then.
-func (entry *Entry) earlier(key ledger.Key) (ledger.Attempt, bool) {
+func (entry *Entry) grantedAttempt(key ledger.Key) (ledger.Attempt, bool) {
 	var attempt ledger.Attempt
 	var ok bool
 	entry.replica.View(func(state *state.State) {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -57,6 +57,6 @@
 	}
 }
 
-func (metrics *metrics) end(outcome request.Outcome) {
+func (metrics *metrics) recordEnd(outcome request.Outcome) {
 	metrics.outcomes.WithLabelValues(string(outcome.Kind), string(outcome.Reason)).Inc()
 }
--- a/internal/entry/promises_test.go
+++ b/internal/entry/promises_test.go
@@ -18,8 +18,8 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-// mutantTries is the number of runs within which each injected fault must be detected.
-const mutantTries = 400
+// mutantRuns is the number of runs within which each injected fault must be detected.
+const mutantRuns = 400
 
 func TestMain(m *testing.M) {
 	promisesTime := flag.Duration("promises.time", 0, "stop the search for violated guarantees after this time")
@@ -49,19 +49,19 @@
 	commandSubmit commandKind = iota
 	commandSubmitTwice
 	commandAdvance
-	commandOutage
+	commandLogDown
 	commandLogUp
-	commandLate
-	commandMode
+	commandDelayLog
+	commandServerMode
 	commandPause
-	commandWake
-	commandKill
+	commandResume
+	commandRestart
 	commandSettle
-	commandHorizon
+	commandAdvanceHorizon
 	commandKinds
 )
 
-func commands() *rapid.Generator[[]command] {
+func commandSequences() *rapid.Generator[[]command] {
 	commandGenerator := rapid.Custom(func(t *rapid.T) command {
 		return command{
 			kind:     commandKind(rapid.IntRange(0, int(commandKinds)-1).Draw(t, "kind")),
@@ -74,7 +74,7 @@
 	return rapid.SliceOfN(commandGenerator, 20, 60)
 }
 
-func (cluster *world) do(command command) {
+func (cluster *cluster) apply(command command) {
 	switch command.kind {
 	case commandSubmit:
 		cluster.submit(command.node, command.key, command.duration+time.Second)
@@ -83,27 +83,27 @@
 		cluster.submit((command.node+1)%nodeCount, command.key, command.duration+time.Second)
 	case commandAdvance:
 		time.Sleep(command.duration)
-	case commandOutage, commandLogUp:
+	case commandLogDown, commandLogUp:
 		cluster.mu.Lock()
-		cluster.outage = command.kind == commandOutage
+		cluster.outage = command.kind == commandLogDown
 		cluster.mu.Unlock()
-	case commandLate:
+	case commandDelayLog:
 		cluster.mu.Lock()
-		cluster.late = command.duration
+		cluster.recordDelay = command.duration
 		cluster.mu.Unlock()
-	case commandMode:
+	case commandServerMode:
 		cluster.mu.Lock()
 		cluster.mode = command.mode
 		cluster.mu.Unlock()
 	case commandPause:
 		cluster.pause(command.node)
-	case commandWake:
-		cluster.wake(command.node)
-	case commandKill:
+	case commandResume:
+		cluster.resume(command.node)
+	case commandRestart:
 		cluster.restart(command.node)
 	case commandSettle:
-		cluster.settle()
-	case commandHorizon:
+		cluster.settleRunning()
+	case commandAdvanceHorizon:
 		horizon := uint64(time.Now().Add(-command.duration).UnixMilli())
 		cluster.append(&wire.Record{Id: "horizon", Body: &wire.Record_AdvanceHorizon{
 			AdvanceHorizon: &wire.AdvanceHorizon{KeyTimeMs: horizon},
@@ -111,24 +111,24 @@
 	}
 }
 
-// play applies commands to a new test cluster, ends the log outage and all pauses,
+// runCommands applies commands to a new test cluster, ends the log outage and all pauses,
 // waits until all calls have ended, and returns the first violated guarantee.
-func play(t *testing.T, commands []command, mutant mutant) (violation error) {
+func runCommands(t *testing.T, commands []command, mutant mutant) (violation error) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		cluster := newWorld(mutant)
+		cluster := newCluster(mutant)
 		for _, command := range commands {
-			cluster.do(command)
+			cluster.apply(command)
 			synctest.Wait()
 		}
-		cluster.do(command{kind: commandLogUp})
+		cluster.apply(command{kind: commandLogUp})
 		for i := range cluster.nodes {
-			cluster.wake(i)
+			cluster.resume(i)
 		}
 		cluster.calls.Wait()
 		time.Sleep(time.Minute)
 		violation = cluster.check()
-		cluster.end()
+		cluster.stopAll()
 	})
 	return violation
 }
@@ -140,42 +140,42 @@
 // one must have run and return its own response, and the time limit must be met.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		drawn := commands().Draw(rt, "commands")
-		err := play(t, drawn, noMutant{})
+		drawn := commandSequences().Draw(rt, "commands")
+		err := runCommands(t, drawn, noMutant{})
 		if err != nil {
 			rt.Fatalf("%v", err)
 		}
 	})
 }
 
-// TestPromisesFindFaults guards against a check of TestPromises that cannot fail:
+// TestPromisesDetectInjectedFaults guards against a check of TestPromises that cannot fail:
 // each injected fault must be detected.
-func TestPromisesFindFaults(t *testing.T) {
+func TestPromisesDetectInjectedFaults(t *testing.T) {
 	mutants := map[string]mutant{
 		"dispatch before the record is read back":     dispatchBeforeReadBack{},
 		"dispatch with the key of another request":    dispatchRefused{reason: fold.ReasonConflict},
 		"dispatch with an expired key":                dispatchRefused{reason: fold.ReasonKeyExpired},
 		"dispatch after a timeout of the log":         dispatchUnsettled{},
-		"lost response reported as not run":           notRunAfterLostAnswer{},
+		"lost response reported as not run":           notRunAfterLostResponse{},
 		"request of a lost owner settled as not run":  settledAsNotRun{},
 		"refusal reported as completed":               completedAfterRefusal{},
 		"call sent twice by the transport":            sentTwice{},
-		"response of another request":                 foreignAnswer{},
+		"response of another request":                 foreignResponse{},
 		"wait for the log longer than the time limit": waitsTooLong{},
 	}
 	for name, mutant := range mutants {
 		t.Run(name, func(t *testing.T) {
 			commandCount := 0
-			for try := range mutantTries {
-				drawn := commands().Example(try)
+			for try := range mutantRuns {
+				drawn := commandSequences().Example(try)
 				commandCount += len(drawn)
-				err := play(t, drawn, mutant)
+				err := runCommands(t, drawn, mutant)
 				if err != nil {
 					t.Logf("detected after %d runs and %d commands: %v", try+1, commandCount, err)
 					return
 				}
 			}
-			assert.Assert(t, false, "not detected in %d runs and %d commands", mutantTries, commandCount)
+			assert.Assert(t, false, "not detected in %d runs and %d commands", mutantRuns, commandCount)
 		})
 	}
 }
@@ -184,14 +184,14 @@
 type mutant interface {
 	proposer(node *node) Proposer
 	// lostResponse and refusal return the error that an entry gets for a failed call.
-	lostAnswer(address string) error
+	lostResponse(address string) error
 	refusal(err error) error
-	// sendings is the number of times that a call is sent.
-	sendings() int
-	// answer returns the response of the service to a call.
-	answer(body []byte) []byte
-	// settlesAs is the outcome that a keeper records for a request whose owner is lost.
-	settlesAs() wire.Outcome
+	// sendCount is the number of times that a call is sent.
+	sendCount() int
+	// response returns the response of the service to a call.
+	response(body []byte) []byte
+	// settledOutcome is the outcome that a keeper records for a request whose owner is lost.
+	settledOutcome() wire.Outcome
 }
 
 // noMutant injects no fault.
@@ -199,17 +199,17 @@
 
 func (noMutant) proposer(node *node) Proposer { return node }
 
-func (noMutant) lostAnswer(address string) error {
+func (noMutant) lostResponse(address string) error {
 	return errors.Newf("%s: connection reset", address)
 }
 
 func (noMutant) refusal(err error) error { return err }
 
-func (noMutant) sendings() int { return 1 }
+func (noMutant) sendCount() int { return 1 }
 
-func (noMutant) answer(body []byte) []byte { return body }
+func (noMutant) response(body []byte) []byte { return body }
 
-func (noMutant) settlesAs() wire.Outcome { return wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN }
+func (noMutant) settledOutcome() wire.Outcome { return wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN }
 
 // changedProposer is a node that proposes begin records by another function.
 type changedProposer struct {
@@ -228,7 +228,7 @@
 
 func (dispatchBeforeReadBack) proposer(node *node) Proposer {
 	return changedProposer{node, func(_ context.Context, record *wire.Record) (fold.Verdict, error) {
-		node.world.append(record)
+		node.cluster.append(record)
 		return fold.Accept(1), nil
 	}}
 }
@@ -250,7 +250,7 @@
 
 func (dispatchUnsettled) proposer(node *node) Proposer {
 	return changedProposer{node, func(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
-		shortCtx, cancel := context.WithTimeout(ctx, proposeAgain)
+		shortCtx, cancel := context.WithTimeout(ctx, reproposeInterval)
 		defer cancel()
 		verdict, err := node.Propose(shortCtx, record)
 		if errors.Is(err, keeperclient.ErrUnsettled) {
@@ -270,15 +270,15 @@
 	}}
 }
 
-type notRunAfterLostAnswer struct{ noMutant }
+type notRunAfterLostResponse struct{ noMutant }
 
-func (notRunAfterLostAnswer) lostAnswer(address string) error {
+func (notRunAfterLostResponse) lostResponse(address string) error {
 	return &backend.NotRunError{Address: address, Reason: "connection reset"}
 }
 
 type settledAsNotRun struct{ noMutant }
 
-func (settledAsNotRun) settlesAs() wire.Outcome { return wire.Outcome_OUTCOME_FAILED_NOT_RUN }
+func (settledAsNotRun) settledOutcome() wire.Outcome { return wire.Outcome_OUTCOME_FAILED_NOT_RUN }
 
 type completedAfterRefusal struct{ noMutant }
 
@@ -286,8 +286,8 @@
 
 type sentTwice struct{ noMutant }
 
-func (sentTwice) sendings() int { return 2 }
+func (sentTwice) sendCount() int { return 2 }
 
-type foreignAnswer struct{ noMutant }
+type foreignResponse struct{ noMutant }
 
-func (foreignAnswer) answer([]byte) []byte { return []byte(testKey(keyCount)) }
+func (foreignResponse) response([]byte) []byte { return []byte(testKey(keyCount)) }
--- a/internal/entry/reservations.go
+++ b/internal/entry/reservations.go
@@ -12,8 +12,8 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// renewPart is the divisor of the lease that yields the interval of renewals.
-const renewPart = 3
+// leaseRenewDivisor is the divisor of the lease that yields the interval of renewals.
+const leaseRenewDivisor = 3
 
 // reservations is the memory reserved for one attempt at a group of engines. While
 // the remaining engines are waited for, the leases at the earlier ones are renewed.
@@ -24,16 +24,16 @@
 	name string
 	// tokens is the memory to reserve at each engine.
 	tokens int
-	// held lists the engines to which a reservation was sent, in order. The last
+	// requested lists the engines to which a reservation was sent, in order. The last
 	// one may not have granted it.
-	held []routing.Server
+	requested []routing.Server
 }
 
-// reserve reserves memory at all servers, or at none. All entries reserve in the
+// reserveMemory reserves memory at all servers, or at none. All entries reserve in the
 // order of server IDs, and wait for one engine while they hold reservations at
 // those before it. This order prevents deadlocks between groups. While a group
 // waits, no other group can take the memory that it has reserved.
-func (forwarder *run) reserve(ctx context.Context, servers []routing.Server) (*reservations, *result) {
+func (forwarder *forwarder) reserveMemory(ctx context.Context, servers []routing.Server) (*reservations, *result) {
 	need := forwarder.routingRequest().RequiredMemory()
 	reserved := &reservations{
 		entry:  forwarder.entry,
@@ -41,8 +41,8 @@
 		tokens: (need + len(servers) - 1) / len(servers),
 	}
 	for _, server := range servers {
-		reserved.held = append(reserved.held, server)
-		err := reserved.gather(ctx, server)
+		reserved.requested = append(reserved.requested, server)
+		err := reserved.reserveAt(ctx, server)
 		if err == nil {
 			continue
 		}
@@ -55,14 +55,14 @@
 	return reserved, nil
 }
 
-// gather polls one engine until the memory is reserved, and renews the
+// reserveAt polls one engine until the memory is reserved, and renews the
 // reservations at the earlier engines meanwhile. It returns an error if the engine
 // is draining or unreachable, if a renewal fails, or if ctx ends.
-func (reservations *reservations) gather(ctx context.Context, server routing.Server) error {
+func (reservations *reservations) reserveAt(ctx context.Context, server routing.Server) error {
 	entry := reservations.entry
 	renewedAt := entry.now()
 	for {
-		err := reservations.ask(ctx, server)
+		err := reservations.requestReservation(ctx, server)
 		if err == nil {
 			return nil
 		}
@@ -70,11 +70,11 @@
 		if !errors.As(err, &refused) || refused.Leaving || refused.Unreachable {
 			return err
 		}
-		wait.For(ctx, entry.settings.Group.Poll)
+		wait.For(ctx, entry.settings.Group.PollInterval)
 		if ctx.Err() != nil {
 			return errors.WithStack(ctx.Err())
 		}
-		if entry.now().Sub(renewedAt) > entry.settings.Group.Lease/renewPart {
+		if entry.now().Sub(renewedAt) > entry.settings.Group.Lease/leaseRenewDivisor {
 			renewedAt = entry.now()
 			err = reservations.renew(ctx, server)
 		}
@@ -86,11 +86,11 @@
 
 // renew renews the reservations at the engines before server.
 func (reservations *reservations) renew(ctx context.Context, server routing.Server) error {
-	for _, earlier := range reservations.held {
+	for _, earlier := range reservations.requested {
 		if earlier.ID == server.ID {
 			return nil
 		}
-		err := reservations.ask(ctx, earlier)
+		err := reservations.requestReservation(ctx, earlier)
 		if err != nil {
 			return errors.Newf("reservation at %s lost: %v", earlier.ID, err)
 		}
@@ -98,8 +98,8 @@
 	return nil
 }
 
-func (reservations *reservations) ask(ctx context.Context, server routing.Server) error {
-	reserveCtx, cancel := context.WithTimeout(ctx, orderTime)
+func (reservations *reservations) requestReservation(ctx context.Context, server routing.Server) error {
+	reserveCtx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	return reservations.entry.backends.Reserve(reserveCtx, server.Address, reservations.name, backend.Reservation{
 		Tokens: reservations.tokens,
@@ -110,9 +110,9 @@
 // release releases the reservations in the background. Those that cannot be
 // released expire with their lease.
 func (reservations *reservations) release() {
-	for _, server := range reservations.held {
+	for _, server := range reservations.requested {
 		reservations.entry.background.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+			ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 			defer cancel()
 			_ = reservations.entry.backends.Release(ctx, server.Address, reservations.name)
 		})
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -51,16 +51,16 @@
 	MaxConcurrent int `yaml:"max_concurrent" validate:"min=1"`
 	// MaxBodyBytes is the maximum total size of the bodies of running requests.
 	MaxBodyBytes int64 `yaml:"max_body_bytes" validate:"min=1024"`
-	// TransferTime is the timeout for receiving a body, and for each write to a
+	// TransferTimeout is the timeout for receiving a body, and for each write to a
 	// stream.
-	TransferTime time.Duration `yaml:"transfer_time" validate:"min=10ms,max=10m"`
+	TransferTimeout time.Duration `yaml:"transfer_time" validate:"min=10ms,max=10m"`
 	// RetryAfter is the delay before a retry that refused callers are given.
 	RetryAfter time.Duration `yaml:"retry_after" validate:"min=10ms,max=10m"`
-	// DrainTime is how long a draining entry waits for its requests in flight.
-	DrainTime time.Duration `yaml:"drain_time" validate:"min=1s,max=2h"`
-	// DrainNotice is how long a draining entry still admits requests after its
+	// DrainTimeout is how long a draining entry waits for its requests in flight.
+	DrainTimeout time.Duration `yaml:"drain_time" validate:"min=1s,max=2h"`
+	// RefuseDelay is how long a draining entry still admits requests after its
 	// readiness check fails, so that the load balancer can detect that.
-	DrainNotice time.Duration `yaml:"drain_notice" validate:"min=0,max=1m"`
+	RefuseDelay time.Duration `yaml:"drain_notice" validate:"min=0,max=1m"`
 }
 
 // RoutingSettings configures the routing policy and the priorities of prompts.
@@ -80,26 +80,26 @@
 	Ratio float64 `yaml:"ratio" validate:"min=0,max=1"`
 	// Burst is the maximum number of retries that can be saved up.
 	Burst float64 `yaml:"burst" validate:"min=0"`
-	// Pause is the delay before the request is routed again after all servers failed.
-	Pause time.Duration `yaml:"pause" validate:"min=1ms,max=10s"`
+	// Delay is the delay before the request is routed again after all servers failed.
+	Delay time.Duration `yaml:"pause" validate:"min=1ms,max=10s"`
 }
 
 // GroupSettings configures memory reservations at groups of engines.
 type GroupSettings struct {
 	// Lease is how long an engine keeps a reservation that is not renewed.
 	Lease time.Duration `yaml:"lease" validate:"min=100ms,max=10m"`
-	// Poll is the interval at which an engine without enough free memory is retried.
-	Poll time.Duration `yaml:"poll" validate:"min=5ms,max=10s"`
+	// PollInterval is the interval at which an engine without enough free memory is retried.
+	PollInterval time.Duration `yaml:"poll" validate:"min=5ms,max=10s"`
 }
 
 // RelaySettings configures how responses are relayed and stored.
 type RelaySettings struct {
-	// Heartbeat is the interval of heartbeats on a stream to a caller.
-	Heartbeat time.Duration `yaml:"heartbeat" validate:"min=100ms,max=1m"`
+	// HeartbeatInterval is the interval of heartbeats on a stream to a caller.
+	HeartbeatInterval time.Duration `yaml:"heartbeat" validate:"min=100ms,max=1m"`
 	// DetachGrace is how long a stream continues without a caller that reads it.
 	DetachGrace time.Duration `yaml:"detach_grace" validate:"min=100ms,max=10m"`
-	// KeepEnded is how long the response of an ended request can be fetched.
-	KeepEnded time.Duration `yaml:"keep_ended" validate:"min=1s,max=1h"`
+	// EndedRetention is how long the response of an ended request can be fetched.
+	EndedRetention time.Duration `yaml:"keep_ended" validate:"min=1s,max=1h"`
 	// MaxEnded is the maximum number of ended requests that are stored.
 	MaxEnded int `yaml:"max_ended" validate:"min=1"`
 }
@@ -111,12 +111,12 @@
 		PlainDatagrams: true,
 		Limits:         request.DefaultLimits(),
 		Admission: AdmissionSettings{
-			MaxConcurrent: 4096,
-			MaxBodyBytes:  512 << 20,
-			TransferTime:  30 * time.Second,
-			RetryAfter:    time.Second,
-			DrainTime:     5 * time.Minute,
-			DrainNotice:   time.Second,
+			MaxConcurrent:   4096,
+			MaxBodyBytes:    512 << 20,
+			TransferTimeout: 30 * time.Second,
+			RetryAfter:      time.Second,
+			DrainTimeout:    5 * time.Minute,
+			RefuseDelay:     time.Second,
 		},
 		Routing: RoutingSettings{
 			Policy:       PolicyLengthAware,
@@ -127,19 +127,19 @@
 			MaxAttempts: 4,
 			Ratio:       0.1,
 			Burst:       100,
-			Pause:       50 * time.Millisecond,
+			Delay:       50 * time.Millisecond,
 		},
 		Group: GroupSettings{
-			Lease: 3 * time.Second,
-			Poll:  50 * time.Millisecond,
+			Lease:        3 * time.Second,
+			PollInterval: 50 * time.Millisecond,
 		},
 		Fleet:      fleet.DefaultSettings(),
 		Quarantine: quarantine.DefaultSettings(),
 		Relay: RelaySettings{
-			Heartbeat:   2 * time.Second,
-			DetachGrace: 10 * time.Second,
-			KeepEnded:   time.Minute,
-			MaxEnded:    20_000,
+			HeartbeatInterval: 2 * time.Second,
+			DetachGrace:       10 * time.Second,
+			EndedRetention:    time.Minute,
+			MaxEnded:          20_000,
 		},
 	}
 }
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -29,29 +29,29 @@
 	EventDuplicate = "duplicate"
 )
 
-// answerStream sends the response as server-sent events, starting with the token
+// respondStream sends the response as server-sent events, starting with the token
 // whose sequence number is from. A request that ends before a server accepts it
 // gets a JSON response instead.
-func (entry *Entry) answerStream(w http.ResponseWriter, r *http.Request, active *active, from int) {
+func (entry *Entry) respondStream(w http.ResponseWriter, r *http.Request, active *activeRequest, from int) {
 	detach := active.buffer.Attach(entry.now)
 	defer detach()
 	if !entry.awaitStart(r, active) {
-		entry.answerUnstarted(w, active)
+		entry.respondUnstarted(w, active)
 		return
 	}
 	entry.sendEvents(w, r, active, from)
 }
 
-// answerUnstarted writes the response for a request that ended before a server
+// respondUnstarted writes the response for a request that ended before a server
 // accepted it. If its key was granted to another request, the response describes
 // that one.
-func (entry *Entry) answerUnstarted(w http.ResponseWriter, active *active) {
+func (entry *Entry) respondUnstarted(w http.ResponseWriter, active *activeRequest) {
 	outcome := active.buffer.ViewFrom(0).Outcome
 	if outcome == nil {
 		return // the caller has disconnected
 	}
-	if earlier, ok := entry.winner(active, *outcome); ok {
-		entry.answerDuplicate(w, active.request, earlier)
+	if earlier, ok := entry.conflictingAttempt(active, *outcome); ok {
+		entry.respondDuplicate(w, active.request, earlier)
 		return
 	}
 	writeOutcome(w, Status{RequestID: active.request.ID}, *outcome)
@@ -60,8 +60,8 @@
 // awaitStart waits until a server has accepted the request, or for one heartbeat
 // interval, so that the caller gets its first event within that time. It reports
 // false if the request ended first or the caller disconnected.
-func (entry *Entry) awaitStart(r *http.Request, active *active) bool {
-	heartbeat := time.NewTimer(entry.settings.Relay.Heartbeat)
+func (entry *Entry) awaitStart(r *http.Request, active *activeRequest) bool {
+	heartbeat := time.NewTimer(entry.settings.Relay.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		view := active.buffer.ViewFrom(0)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (entry *Entry) sendEvents(w http.ResponseWriter, r *http.Request, active *active, from int) {
+func (entry *Entry) sendEvents(w http.ResponseWriter, r *http.Request, active *activeRequest, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.Header().Set(HeaderRequestID, active.request.ID)
@@ -89,7 +89,7 @@
 	controller := http.NewResponseController(w)
 	events := &eventWriter{}
 	events.event(EventAdmitted, "", Status{RequestID: active.request.ID, Running: true})
-	heartbeat := time.NewTicker(entry.settings.Relay.Heartbeat)
+	heartbeat := time.NewTicker(entry.settings.Relay.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		view := active.buffer.ViewFrom(from)
@@ -100,7 +100,7 @@
 		if view.Outcome != nil {
 			entry.sendOutcome(events, active, *view.Outcome, from)
 		}
-		_ = controller.SetWriteDeadline(entry.now().Add(entry.settings.Admission.TransferTime))
+		_ = controller.SetWriteDeadline(entry.now().Add(entry.settings.Admission.TransferTimeout))
 		if !events.flush(w, controller) || view.Outcome != nil {
 			return
 		}
@@ -114,8 +114,8 @@
 	}
 }
 
-func (entry *Entry) sendOutcome(events *eventWriter, active *active, outcome request.Outcome, tokens int) {
-	if earlier, ok := entry.winner(active, outcome); ok {
+func (entry *Entry) sendOutcome(events *eventWriter, active *activeRequest, outcome request.Outcome, tokens int) {
+	if earlier, ok := entry.conflictingAttempt(active, outcome); ok {
 		events.event(EventDuplicate, "", Status{RequestID: earlier.RequestID, Running: earlier.Running(), Duplicate: true})
 		return
 	}
@@ -123,14 +123,14 @@
 	events.event(EventOutcome, "", withOutcome(status, outcome))
 }
 
-// winner returns the attempt that was granted the key of a request whose own claim
+// conflictingAttempt returns the attempt that was granted the key of a request whose own claim
 // was refused. It reports false if the claim was not refused for that reason, or
 // the other attempt has released the key.
-func (entry *Entry) winner(active *active, outcome request.Outcome) (ledger.Attempt, bool) {
+func (entry *Entry) conflictingAttempt(active *activeRequest, outcome request.Outcome) (ledger.Attempt, bool) {
 	if outcome.Reason != request.ReasonKeyConflict {
 		return ledger.Attempt{}, false
 	}
-	return entry.earlier(active.request.Key)
+	return entry.grantedAttempt(active.request.Key)
 }
 
 // eventWriter buffers server-sent events until the next flush.
@@ -165,16 +165,16 @@
 	return err == nil && controller.Flush() == nil
 }
 
-// answerCall waits for the response of a plain service and writes it, unless the
+// respondCall waits for the response of a plain service and writes it, unless the
 // caller disconnects first.
-func (entry *Entry) answerCall(w http.ResponseWriter, r *http.Request, active *active) {
+func (entry *Entry) respondCall(w http.ResponseWriter, r *http.Request, active *activeRequest) {
 	detach := active.buffer.Attach(entry.now)
 	defer detach()
 	for {
 		view := active.buffer.ViewFrom(0)
 		switch {
 		case view.Outcome != nil && !view.Started:
-			entry.answerUnstarted(w, active)
+			entry.respondUnstarted(w, active)
 			return
 		case view.Outcome != nil:
 			writeOutcome(w, statusOf(active), *view.Outcome)
@@ -189,7 +189,7 @@
 }
 
 // statusOf returns the status of a request that is in the registry of this entry.
-func statusOf(active *active) Status {
+func statusOf(active *activeRequest) Status {
 	view := active.buffer.ViewFrom(0)
 	var text strings.Builder
 	for _, token := range view.Tokens {
--- a/internal/entry/streamcluster_test.go
+++ b/internal/entry/streamcluster_test.go
@@ -26,24 +26,24 @@
 )
 
 const (
-	engineCount = 3
-	testMemory  = 100_000
-	testModel   = "clerk"
-	streamTime  = 20 * time.Second
-	// crashingTokens is the length of the prompt that crashes every engine after crashTime.
+	engineCount        = 3
+	engineMemoryTokens = 100_000
+	testModel          = "clerk"
+	streamTimeLimit    = 20 * time.Second
+	// crashingTokens is the length of the prompt that crashes every engine after crashDelay.
 	crashingTokens = 777
-	crashTime      = 100 * time.Millisecond
-	// callerPause is how long a caller waits before it reconnects.
-	callerPause = 20 * time.Millisecond
+	crashDelay     = 100 * time.Millisecond
+	// reconnectDelay is how long a caller waits before it reconnects.
+	reconnectDelay = 20 * time.Millisecond
 )
 
-// streamWorld is a cluster of entries and simulated engines, in virtual time.
-type streamWorld struct {
+// streamCluster is a cluster of entries and simulated engines, in virtual time.
+type streamCluster struct {
 	mu      sync.Mutex
 	engines map[string]*engine.Engine
-	// cutAfter is the number of frames after which connections to engines break,
+	// disconnectAfter is the number of frames after which connections to engines break,
 	// or zero for never.
-	cutAfter int
+	disconnectAfter int
 	// crashes lists the times at which a prompt of crashingTokens crashed an engine, and sends the times at which
 	// it was sent.
 	crashes []time.Time
@@ -51,13 +51,13 @@
 	entries []*Entry
 	callers []*caller
 	// activeCallers counts the callers without an outcome, and goroutines those of engines and entries.
-	calling sync.WaitGroup
-	running sync.WaitGroup
-	ends    []context.CancelFunc
+	activeCallers sync.WaitGroup
+	goroutines    sync.WaitGroup
+	cancels       []context.CancelFunc
 }
 
-func newStreamWorld() *streamWorld {
-	cluster := &streamWorld{engines: make(map[string]*engine.Engine)}
+func newStreamCluster() *streamCluster {
+	cluster := &streamCluster{engines: make(map[string]*engine.Engine)}
 	for i := range engineCount {
 		cluster.startEngine(i)
 	}
@@ -73,32 +73,32 @@
 }
 
 // startEngine starts engine i without any streams; a running one is stopped.
-func (cluster *streamWorld) startEngine(i int) {
+func (cluster *streamCluster) startEngine(i int) {
 	id := engineID(i)
 	settings := engine.DefaultSettings()
-	settings.MemoryTokens = testMemory
+	settings.MemoryTokens = engineMemoryTokens
 	started := engine.New(id, []string{testModel}, false, settings, execution.New(), cluster.engine, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cluster.mu.Lock()
 	old := cluster.engines[id]
 	cluster.engines[id] = started
-	cluster.ends = append(cluster.ends, cancel)
+	cluster.cancels = append(cluster.cancels, cancel)
 	cluster.mu.Unlock()
 	if old != nil {
 		old.Close()
 	}
-	cluster.running.Go(started.Run)
-	cluster.running.Go(func() { started.Housekeep(ctx) })
+	cluster.goroutines.Go(started.Run)
+	cluster.goroutines.Go(func() { started.Housekeep(ctx) })
 }
 
-func (cluster *streamWorld) engine(id string) *engine.Engine {
+func (cluster *streamCluster) engine(id string) *engine.Engine {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return cluster.engines[id]
 }
 
 // startEntry starts entry i without any requests; a running one is stopped.
-func (cluster *streamWorld) startEntry(i int) {
+func (cluster *streamCluster) startEntry(i int) {
 	settings := DefaultSettings()
 	settings.VM = fmt.Sprintf("vm%d", i)
 	state := replica.New()
@@ -115,21 +115,21 @@
 	for i := range engineCount {
 		fleetList.Servers = append(fleetList.Servers, &wire.Server{
 			Id: engineID(i), Address: engineID(i), Kind: infra.KindEngine,
-			Models: []string{testModel}, MemoryTokens: testMemory,
+			Models: []string{testModel}, MemoryTokens: engineMemoryTokens,
 		})
 	}
 	servers.SetFleet(fleetList)
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	if old := cluster.entries[i]; old != nil {
-		old.end()
+		old.cancelBase()
 	}
-	started := NewWith(settings, &streamBackends{world: cluster}, state, servers, nil, slog.New(slog.DiscardHandler))
+	started := NewWith(settings, &streamBackends{cluster: cluster}, state, servers, nil, slog.New(slog.DiscardHandler))
 	cluster.entries[i] = started
-	cluster.running.Go(func() { started.quarantine.Run(started.life, true) })
+	cluster.goroutines.Go(func() { started.quarantine.Run(started.baseContext, true) })
 }
 
-func (cluster *streamWorld) entry(i int) *Entry {
+func (cluster *streamCluster) entry(i int) *Entry {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return cluster.entries[i%nodeCount]
@@ -145,8 +145,8 @@
 	texts   []string
 	outcome Status
 	// lost reports that an entry did not find the request.
-	lost bool
-	took time.Duration
+	lost    bool
+	elapsed time.Duration
 }
 
 // promptOf returns a prompt with the given number of tokens.
@@ -156,25 +156,25 @@
 
 // submit starts a caller. Its connection breaks each time after disconnectEvery tokens, or
 // never if that is zero.
-func (cluster *streamWorld) submit(node, promptTokens, maxTokens, disconnectEvery int) {
+func (cluster *streamCluster) submit(node, promptTokens, maxTokens, disconnectEvery int) {
 	prompt := promptOf(promptTokens)
 	caller := &caller{digest: xxhash.Sum64String(prompt), tokens: maxTokens}
 	cluster.callers = append(cluster.callers, caller)
 	repeatable := true
 	body, err := json.Marshal(request.Submission{
-		Model: testModel, Prompt: prompt, MaxTokens: maxTokens, TimeMS: streamTime.Milliseconds(), Repeatable: &repeatable,
+		Model: testModel, Prompt: prompt, MaxTokens: maxTokens, TimeMS: streamTimeLimit.Milliseconds(), Repeatable: &repeatable,
 	})
 	if err != nil {
 		panic(err)
 	}
-	cluster.calling.Go(func() {
+	cluster.activeCallers.Go(func() {
 		started := time.Now()
 		cluster.read(caller, node, body, disconnectEvery)
-		caller.took = time.Since(started)
+		caller.elapsed = time.Since(started)
 	})
 }
 
-func (cluster *streamWorld) read(caller *caller, node int, body []byte, disconnectEvery int) {
+func (cluster *streamCluster) read(caller *caller, node int, body []byte, disconnectEvery int) {
 	id, last := "", ""
 	for ; caller.outcome.Outcome == "" && !caller.lost; node++ {
 		httpRequest := httptest.NewRequest(http.MethodPost, "/v1/requests", bytes.NewReader(body))
@@ -184,28 +184,28 @@
 		}
 		httpRequest.Header.Set(HeaderOrganisation, testOrganisation)
 		ctx, cancel := context.WithCancel(context.Background())
-		writer := &cutWriter{header: make(http.Header), cutAfter: disconnectEvery, cut: cancel}
+		writer := &breakingWriter{header: make(http.Header), disconnectAfter: disconnectEvery, cancel: cancel}
 		entry := cluster.entry(node)
 		entry.Handler().ServeHTTP(writer, httpRequest.WithContext(ctx))
 		cancel()
-		time.Sleep(callerPause)
-		if entry.life.Err() != nil {
+		time.Sleep(reconnectDelay)
+		if entry.baseContext.Err() != nil {
 			// The entry was stopped and its connections broke: what it wrote after
 			// that did not arrive.
-			writer.dropAfterTokens()
+			writer.keepOnlyTokens()
 		}
 		if writer.header.Get(HeaderRequestID) != "" && writer.code != http.StatusServiceUnavailable {
 			id = writer.header.Get(HeaderRequestID)
 		}
-		last = caller.take(writer, last)
+		last = caller.recordEvents(writer, last)
 		if len(caller.texts) == 0 {
 			last = ""
 		}
 	}
 }
 
-// dropAfterTokens drops everything that was written except token events.
-func (breakingwriter *cutWriter) dropAfterTokens() {
+// keepOnlyTokens drops everything that was written except token events.
+func (breakingwriter *breakingWriter) keepOnlyTokens() {
 	body := breakingwriter.body.String()
 	outcomeIndex := strings.LastIndex(body, "event: "+EventOutcome)
 	if outcomeIndex >= 0 {
@@ -217,9 +217,9 @@
 	}
 }
 
-// take adds the events in writer to those that the caller received, and returns the
+// recordEvents adds the events in writer to those that the caller received, and returns the
 // ID of the last token event, or last if there is none.
-func (caller *caller) take(writer *cutWriter, last string) string {
+func (caller *caller) recordEvents(writer *breakingWriter, last string) string {
 	if !strings.HasPrefix(writer.header.Get("Content-Type"), "text/event-stream") {
 		_ = json.Unmarshal(writer.body.Bytes(), &caller.outcome)
 		caller.lost = writer.code == http.StatusGone
@@ -255,44 +255,44 @@
 		return errors.Newf("%d tokens of a request reported as not run", len(caller.texts))
 	case outcome.Outcome == "":
 		return errors.Newf("no outcome after %d tokens", len(caller.texts))
-	case caller.took > streamTime+time.Second:
-		return errors.Newf("took %s with a time limit of %s", caller.took, streamTime)
+	case caller.elapsed > streamTimeLimit+time.Second:
+		return errors.Newf("took %s with a time limit of %s", caller.elapsed, streamTimeLimit)
 	}
 	return nil
 }
 
-// cutWriter is the connection to a caller. It breaks after disconnectAfter token events, or
+// breakingWriter is the connection to a caller. It breaks after disconnectAfter token events, or
 // never if that is zero.
-type cutWriter struct {
-	header   http.Header
-	code     int
-	body     bytes.Buffer
-	cutAfter int
-	cut      context.CancelFunc
+type breakingWriter struct {
+	header          http.Header
+	code            int
+	body            bytes.Buffer
+	disconnectAfter int
+	cancel          context.CancelFunc
 }
 
 // Header implements http.ResponseWriter.
-func (breakingwriter *cutWriter) Header() http.Header { return breakingwriter.header }
+func (breakingwriter *breakingWriter) Header() http.Header { return breakingwriter.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (breakingwriter *cutWriter) WriteHeader(code int) { breakingwriter.code = code }
+func (breakingwriter *breakingWriter) WriteHeader(code int) { breakingwriter.code = code }
 
 // Write implements http.ResponseWriter.
-func (breakingwriter *cutWriter) Write(data []byte) (int, error) {
-	if breakingwriter.cutAfter > 0 && strings.Count(breakingwriter.body.String(), "event: "+EventToken) >= breakingwriter.cutAfter {
-		breakingwriter.cut()
+func (breakingwriter *breakingWriter) Write(data []byte) (int, error) {
+	if breakingwriter.disconnectAfter > 0 && strings.Count(breakingwriter.body.String(), "event: "+EventToken) >= breakingwriter.disconnectAfter {
+		breakingwriter.cancel()
 		return 0, errors.New("connection broken")
 	}
 	return breakingwriter.body.Write(data)
 }
 
 // Flush implements http.Flusher.
-func (breakingwriter *cutWriter) Flush() {}
+func (breakingwriter *breakingWriter) Flush() {}
 
 // streamBackends calls the engines of a stream cluster without a network.
 type streamBackends struct {
-	node  // implements the methods of Backends that streams do not use
-	world *streamWorld
+	node    // implements the methods of Backends that streams do not use
+	cluster *streamCluster
 }
 
 // Generate implements backend.Engine.
@@ -300,9 +300,9 @@
 	ctx context.Context, address string, dispatch backend.Dispatch,
 ) (backend.Stream, error) {
 	if len(dispatch.Body) == len(promptOf(crashingTokens)) {
-		return nil, streambackends.world.crash(address)
+		return nil, streambackends.cluster.crashEngine(address)
 	}
-	target := streambackends.world.engine(address)
+	target := streambackends.cluster.engine(address)
 	err := target.Submit(engine.Submission{
 		Attempt: dispatch.Attempt, Request: dispatch.Request, Organisation: dispatch.Organisation, Owner: dispatch.Owner,
 		Model: dispatch.Model, Group: dispatch.Group, Prompt: dispatch.Body, Priority: dispatch.Priority,
@@ -314,13 +314,13 @@
 	return streambackends.open(ctx, target, dispatch.Attempt, dispatch.From)
 }
 
-// crash restarts an engine after crashTime, which ends all of its streams, and
+// crashEngine restarts an engine after crashDelay, which ends all of its streams, and
 // returns the error of the broken connection.
-func (cluster *streamWorld) crash(address string) error {
+func (cluster *streamCluster) crashEngine(address string) error {
 	cluster.mu.Lock()
 	cluster.sends = append(cluster.sends, time.Now())
 	cluster.mu.Unlock()
-	time.Sleep(crashTime)
+	time.Sleep(crashDelay)
 	for i := range engineCount {
 		if engineID(i) == address {
 			cluster.startEngine(i)
@@ -336,7 +336,7 @@
 func (streambackends *streamBackends) Resume(
 	ctx context.Context, address, attempt string, from int,
 ) (backend.Stream, error) {
-	return streambackends.open(ctx, streambackends.world.engine(address), attempt, from)
+	return streambackends.open(ctx, streambackends.cluster.engine(address), attempt, from)
 }
 
 func (streambackends *streamBackends) open(
@@ -348,10 +348,10 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stream := &memoryStream{info: info, frames: make(chan backend.Frame), cancel: cancel}
-	streambackends.world.mu.Lock()
-	stream.left = streambackends.world.cutAfter
-	streambackends.world.mu.Unlock()
-	streambackends.world.running.Go(func() {
+	streambackends.cluster.mu.Lock()
+	stream.framesLeft = streambackends.cluster.disconnectAfter
+	streambackends.cluster.mu.Unlock()
+	streambackends.cluster.goroutines.Go(func() {
 		defer close(stream.frames)
 		target.Read(ctx, attempt, from, func(frames []backend.Frame) error {
 			for _, frame := range frames {
@@ -369,7 +369,7 @@
 
 // Streams implements backend.Engine.
 func (streambackends *streamBackends) Streams(_ context.Context, address string) ([]backend.StreamInfo, error) {
-	return streambackends.world.engine(address).List(), nil
+	return streambackends.cluster.engine(address).List(), nil
 }
 
 // Reserve implements backend.Engine.
@@ -377,7 +377,7 @@
 	_ context.Context, address, id string, reservation backend.Reservation,
 ) error {
 	ttl := time.Duration(reservation.TTLMS) * time.Millisecond
-	err := streambackends.world.engine(address).Reserve(id, reservation.Tokens, ttl)
+	err := streambackends.cluster.engine(address).Reserve(id, reservation.Tokens, ttl)
 	if err != nil {
 		return &backend.NotRunError{Address: address, Reason: err.Error()}
 	}
@@ -386,7 +386,7 @@
 
 // Release implements backend.Engine.
 func (streambackends *streamBackends) Release(_ context.Context, address, id string) error {
-	streambackends.world.engine(address).Release(id)
+	streambackends.cluster.engine(address).Release(id)
 	return nil
 }
 
@@ -395,17 +395,17 @@
 	info   backend.StreamInfo
 	frames chan backend.Frame
 	cancel context.CancelFunc
-	// left counts down to one, at which the connection breaks; zero means never.
-	left int
+	// framesLeft counts down to one, at which the connection breaks; zero means never.
+	framesLeft int
 }
 
 // Next implements backend.Stream.
 func (memorystream *memoryStream) Next() (backend.Frame, error) {
-	if memorystream.left == 1 {
+	if memorystream.framesLeft == 1 {
 		memorystream.cancel()
 		return backend.Frame{}, errors.New("connection broken")
 	}
-	memorystream.left = max(0, memorystream.left-1)
+	memorystream.framesLeft = max(0, memorystream.framesLeft-1)
 	frame, ok := <-memorystream.frames
 	if !ok {
 		return backend.Frame{}, errors.New("connection closed")
--- a/internal/entry/streams_test.go
+++ b/internal/entry/streams_test.go
@@ -25,7 +25,7 @@
 	duration        time.Duration
 }
 
-func streamCommands() *rapid.Generator[[]streamCommand] {
+func streamCommandSequences() *rapid.Generator[[]streamCommand] {
 	commandGenerator := rapid.Custom(func(t *rapid.T) streamCommand {
 		return streamCommand{
 			kind:            rapid.IntRange(0, 6).Draw(t, "kind"),
@@ -39,7 +39,7 @@
 	return rapid.SliceOfN(commandGenerator, 10, 40)
 }
 
-func (cluster *streamWorld) do(command streamCommand) {
+func (cluster *streamCluster) apply(command streamCommand) {
 	switch command.kind {
 	case 0, 1, 2:
 		cluster.submit(command.node, command.promptTokens, command.maxTokens, command.disconnectAfter)
@@ -49,30 +49,30 @@
 		cluster.startEngine(command.node)
 	case 5:
 		cluster.mu.Lock()
-		cluster.cutAfter = command.disconnectAfter
+		cluster.disconnectAfter = command.disconnectAfter
 		cluster.mu.Unlock()
 	case 6:
 		cluster.startEntry(command.node)
 	}
 }
 
-func playStreams(t *testing.T, commands []streamCommand) (violation error) {
+func runStreamCommands(t *testing.T, commands []streamCommand) (violation error) {
 	t.Helper()
-	return inStreamWorld(t, func(cluster *streamWorld) {
+	return runInStreamCluster(t, func(cluster *streamCluster) {
 		for _, command := range commands {
-			cluster.do(command)
+			cluster.apply(command)
 		}
 	})
 }
 
-// inStreamWorld calls scenario with a new stream cluster, waits until all callers have an outcome, and returns the first
+// runInStreamCluster calls scenario with a new stream cluster, waits until all callers have an outcome, and returns the first
 // violated guarantee.
-func inStreamWorld(t *testing.T, scenario func(cluster *streamWorld)) (violation error) {
+func runInStreamCluster(t *testing.T, scenario func(cluster *streamCluster)) (violation error) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		cluster := newStreamWorld()
+		cluster := newStreamCluster()
 		scenario(cluster)
-		cluster.calling.Wait()
+		cluster.activeCallers.Wait()
 		time.Sleep(time.Minute) // until streams without a reader are cancelled
 		for i, caller := range cluster.callers {
 			err := caller.check()
@@ -81,50 +81,50 @@
 			}
 		}
 		for id, engine := range cluster.engines {
-			if free := engine.Truth().FreeTokens; free != testMemory && violation == nil {
+			if free := engine.Truth().FreeTokens; free != engineMemoryTokens && violation == nil {
 				violation = errors.Newf("%s has %d free tokens of memory after all requests have ended", id, free)
 			}
 			engine.Close()
 		}
 		for _, entry := range cluster.entries {
-			entry.end()
+			entry.cancelBase()
 			entry.background.Wait()
 		}
-		for _, end := range cluster.ends {
+		for _, end := range cluster.cancels {
 			end()
 		}
-		cluster.running.Wait()
+		cluster.goroutines.Wait()
 	})
 	return violation
 }
 
-// TestStreamsAreWhole guards against lost, repeated or wrong tokens and against
+// TestStreamsAreComplete guards against lost, repeated or wrong tokens and against
 // leaked engine memory. Connections to callers and engines break at random, and
 // engines and entries are restarted, while streams of all lengths are in flight.
-func TestStreamsAreWhole(t *testing.T) {
+func TestStreamsAreComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		drawn := streamCommands().Draw(rt, "commands")
-		err := playStreams(t, drawn)
+		drawn := streamCommandSequences().Draw(rt, "commands")
+		err := runStreamCommands(t, drawn)
 		if err != nil {
 			rt.Fatalf("%v", err)
 		}
 	})
 }
 
-// TestRequestThatCrashesEnginesIsSentNoMore guards against retries of callers that crash one engine after the other.
+// TestCrashingRequestIsQuarantined guards against retries of callers that crash one engine after the other.
 // Each retry has a new request ID; while an entry recorded failures by request ID only, each retry was sent to up to
 // four more engines, and 40 of 40 sends crashed one. After three crashes the request must not be sent again, and other
 // requests must still complete.
-func TestRequestThatCrashesEnginesIsSentNoMore(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	var crashes, sends []time.Time
 	var outcomes []Status
-	violation := inStreamWorld(t, func(cluster *streamWorld) {
+	violation := runInStreamCluster(t, func(cluster *streamCluster) {
 		for range 10 {
 			cluster.submit(0, crashingTokens, 20, 0)
 			cluster.submit(0, 1000, 20, 0)
 			time.Sleep(time.Second)
 		}
-		cluster.calling.Wait()
+		cluster.activeCallers.Wait()
 		crashes, sends = cluster.crashes, cluster.sends
 		for _, caller := range cluster.callers {
 			outcomes = append(outcomes, caller.outcome)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -67,9 +67,9 @@
 		return sendErrorResult(ctx, err)
 	}
 	answer := gateway.codec.Answer(response.Status, response.Header)
-	defer func() { response.Close(answer.Idle) }()
+	defer func() { response.Close(answer.IdleTimeout) }()
 	activeAttempt := &activeAttempt{plan: plan, use: use, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
-	if answer.Stream && answer.Whole && !answer.Encoded && response.Status/100 == 2 {
+	if answer.Stream && answer.Sealed && !answer.ContentEncoded && response.Status/100 == 2 {
 		return forwarder.relay(ctx, activeAttempt)
 	}
 	return forwarder.receiveBuffered(ctx, activeAttempt, answer)
@@ -145,7 +145,7 @@
 
 // receiveBuffered reads a plain response whole. It forwards the response unless it is a failure
 // after which another server may be tried.
-func (forwarder *forwarder) receiveBuffered(ctx context.Context, activeAttempt *activeAttempt, answer call.Answer) result {
+func (forwarder *forwarder) receiveBuffered(ctx context.Context, activeAttempt *activeAttempt, answer call.Response) result {
 	response := activeAttempt.response
 	body, release, err := forwarder.gateway.responseMemory.read(ctx, activeAttempt, forwarder.gateway.settings.Request.MaxResponseBytes)
 	defer release()
@@ -158,8 +158,8 @@
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response body is too long")}
 	case answer.NotRun:
 		return result{
-			kind: resultNotRun, status: response.Status, serverClosed: answer.Misdirected && answer.AtServer == "",
-			failedServer: answer.AtServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
+			kind: resultNotRun, status: response.Status, serverClosed: answer.Misdirected && answer.FailedServer == "",
+			failedServer: answer.FailedServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
 		}
 	}
 	if impliesNotRun(response.Status) {
@@ -169,7 +169,7 @@
 	}
 	buffered := &bufferedResponse{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError {
-		if !answer.Whole {
+		if !answer.Sealed {
 			buffered = nil
 		}
 		return result{
@@ -177,7 +177,7 @@
 			err: errors.Newf("status %d", response.Status),
 		}
 	}
-	if response.Status/100 == 2 && (!answer.Whole || answer.Encoded) {
+	if response.Status/100 == 2 && (!answer.Sealed || answer.ContentEncoded) {
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response does not carry the mark that proves it came from the server")}
 	}
 	forwarder.writeBuffered(buffered)
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -16,7 +16,7 @@
 	// ServerHeader returns the header to send to a server.
 	ServerHeader(header http.Header, dispatch call.Dispatch) http.Header
 	// Answer decodes the status and header of a server's response.
-	Answer(status int, header http.Header) call.Answer
+	Answer(status int, header http.Header) call.Response
 	// Notice decodes what the addressed server states about itself in the header of a
 	// response.
 	Notice(status int, header http.Header) call.Notice
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -191,11 +191,11 @@
 // memory was reserved.
 func (forwarder *forwarder) dispatch(plan placement.Plan, reserved *reservation.Reservation) call.Dispatch {
 	dispatch := call.Dispatch{
-		Instance:     plan.Server.ID,
-		Time:         forwarder.callerDeadline.Sub(forwarder.gateway.now()),
-		Organisation: forwarder.organisationName(),
-		LastEvent:    forwarder.lastEvent,
-		Urgency:      forwarder.urgency(),
+		Instance:             plan.Server.ID,
+		TimeToCallerDeadline: forwarder.callerDeadline.Sub(forwarder.gateway.now()),
+		Organisation:         forwarder.organisationName(),
+		LastEvent:            forwarder.lastEvent,
+		Urgency:              forwarder.urgency(),
 	}
 	if reserved != nil {
 		dispatch.Helpers = append(dispatch.Helpers, call.Helper{Address: plan.Server.Address, Ticket: reserved.Ticket()})
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -28,23 +28,23 @@
 func (notices notices) HandleResponse(server string, sentAt time.Time, status int, header http.Header) {
 	gateway := notices.gateway
 	notice := gateway.codec.Notice(status, header)
-	if notice.Leaving {
+	if notice.Draining {
 		gateway.metrics.notices.WithLabelValues(noticeDraining).Inc()
 		gateway.pool.MarkDraining(server)
 	}
-	if notice.Rest > 0 {
+	if notice.Backoff > 0 {
 		gateway.metrics.notices.WithLabelValues(noticeBackoff).Inc()
-		gateway.pool.BackOff(server, notice.Rest)
+		gateway.pool.BackOff(server, notice.Backoff)
 	}
-	switch notice.Limit.Kind {
-	case call.LimitNamed:
+	switch notice.RateLimit.Kind {
+	case call.RateLimitAdvertised:
 		gateway.metrics.notices.WithLabelValues(noticeRateLimit).Inc()
-		gateway.pool.RecordRateLimit(server, notice.Limit.PerSecond)
-	case call.LimitNone:
+		gateway.pool.RecordRateLimit(server, notice.RateLimit.PerSecond)
+	case call.RateLimitNone:
 		gateway.pool.RecordNoRateLimit(server, sentAt)
-	case call.LimitUnclear:
+	case call.RateLimitUnknown:
 	}
-	for _, value := range notice.Unreadable {
+	for _, value := range notice.Malformed {
 		gateway.metrics.notices.WithLabelValues(noticeMalformed).Inc()
 		gateway.logger.Info("malformed notice in a server's response", "server", server, "status", status, "value", value)
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -189,9 +189,9 @@
 func (admitted *admitted) setDeadlines(margin time.Duration) {
 	limit := admitted.route.Timeout
 	admitted.callerDeadline = admitted.arrivedAt.Add(limit)
-	if admitted.head.Time > 0 {
-		admitted.callerDeadline = admitted.arrivedAt.Add(admitted.head.Time)
-		limit = min(limit, admitted.head.Time)
+	if admitted.head.TimeToCallerDeadline > 0 {
+		admitted.callerDeadline = admitted.arrivedAt.Add(admitted.head.TimeToCallerDeadline)
+		limit = min(limit, admitted.head.TimeToCallerDeadline)
 	}
 	admitted.deadline = admitted.arrivedAt.Add(limit - margin)
 }
--- a/internal/request/outcome.go
+++ b/internal/request/outcome.go
@@ -21,25 +21,25 @@
 
 // Reasons for which requests fail. ReasonNone stands for no failure.
 const (
-	ReasonNone           Reason = ""
-	ReasonCancelled      Reason = "cancelled"
-	ReasonCallerGone     Reason = "caller_gone"
-	ReasonCrashesServers Reason = "crashes_servers"
-	ReasonDeadline       Reason = "deadline"
-	ReasonEngineFailed   Reason = "backend_server_failed"
-	ReasonEngineRefused  Reason = "backend_server_refused"
-	ReasonKeyConflict    Reason = "key_in_use"
-	ReasonKeyContent     Reason = "key_of_other_content"
-	ReasonKeyExpired     Reason = "key_expired"
-	ReasonLogUnavailable Reason = "log_unavailable"
-	ReasonNoServer       Reason = "no_backend_server"
-	ReasonNoTime         Reason = "stated_time_cannot_be_met"
-	ReasonOrganisation   Reason = "organisation_limit"
-	ReasonOverload       Reason = "overload"
-	ReasonOwnerLost      Reason = "owner_lost"
-	ReasonRetryBudget    Reason = "retry_budget_spent"
-	ReasonStopping       Reason = "vm_stopping"
-	ReasonTooLong        Reason = "prompt_too_long"
+	ReasonNone              Reason = ""
+	ReasonCancelled         Reason = "cancelled"
+	ReasonCallerGone        Reason = "caller_gone"
+	ReasonCrashesServers    Reason = "crashes_servers"
+	ReasonDeadline          Reason = "deadline"
+	ReasonEngineFailed      Reason = "backend_server_failed"
+	ReasonEngineRefused     Reason = "backend_server_refused"
+	ReasonKeyConflict       Reason = "key_in_use"
+	ReasonKeyContentDiffers Reason = "key_of_other_content"
+	ReasonKeyExpired        Reason = "key_expired"
+	ReasonLogUnavailable    Reason = "log_unavailable"
+	ReasonNoServer          Reason = "no_backend_server"
+	ReasonInsufficientTime  Reason = "stated_time_cannot_be_met"
+	ReasonOrganisationLimit Reason = "organisation_limit"
+	ReasonOverload          Reason = "overload"
+	ReasonOwnerLost         Reason = "owner_lost"
+	ReasonRetryBudget       Reason = "retry_budget_spent"
+	ReasonStopping          Reason = "vm_stopping"
+	ReasonPromptTooLong     Reason = "prompt_too_long"
 )
 
 // Outcome is how a request ended.
@@ -81,9 +81,9 @@
 	}
 }
 
-// OutcomeOf returns the outcome that is encoded in a log record. An unknown kind is
+// OutcomeFromWire returns the outcome that is encoded in a log record. An unknown kind is
 // decoded as one that may have run.
-func OutcomeOf(kind wire.Outcome, reason, server string) Outcome {
+func OutcomeFromWire(kind wire.Outcome, reason, server string) Outcome {
 	outcome := Outcome{Kind: KindFailedMayHaveRun, Reason: Reason(reason), Server: server}
 	switch kind {
 	case wire.Outcome_OUTCOME_COMPLETED:
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -86,8 +86,8 @@
 	// Body is the prompt, or the body of a call.
 	Body      []byte
 	MaxTokens int
-	// Time is the time limit, from admission to outcome.
-	Time time.Duration
+	// TimeLimit is the time limit, from admission to outcome.
+	TimeLimit time.Duration
 	// Key is set exactly if Repeatable is false.
 	Key        ledger.Key
 	Repeatable bool
@@ -110,16 +110,16 @@
 // request is valid only if there are no errors.
 func New(vm, organisation string, submission Submission, limits Limits, now time.Time) (Request, []FieldError) {
 	checker := &checker{limits: limits}
-	checker.name("model", submission.Model, true)
-	checker.name("session", submission.Session, false)
-	checker.that(submission.Prompt != "", "prompt", "must not be empty")
-	checker.that(submission.MaxTokens >= 1 && submission.MaxTokens <= limits.MaxTokens, "max_tokens",
+	checker.validateName("model", submission.Model, true)
+	checker.validateName("session", submission.Session, false)
+	checker.require(submission.Prompt != "", "prompt", "must not be empty")
+	checker.require(submission.MaxTokens >= 1 && submission.MaxTokens <= limits.MaxTokens, "max_tokens",
 		fmt.Sprintf("must be from 1 to %d, is %d", limits.MaxTokens, submission.MaxTokens))
 	mode := submission.Mode
 	if mode == "" {
 		mode = ModeStream
 	}
-	checker.that(mode == ModeStream || mode == ModeDeferred, "mode",
+	checker.require(mode == ModeStream || mode == ModeDeferred, "mode",
 		fmt.Sprintf("must be %s or %s, is %q", ModeStream, ModeDeferred, mode))
 	request := Request{
 		ID:           NewID(vm),
@@ -130,7 +130,7 @@
 		Session:      submission.Session,
 		Mode:         mode,
 	}
-	return checker.repetition(request, submission.TimeMS, submission.Repeatable, submission.Key, now), checker.errors
+	return checker.validateRepetition(request, submission.TimeMS, submission.Repeatable, submission.Key, now), checker.errors
 }
 
 // Call is the body of a submitted call to a plain service.
@@ -147,7 +147,7 @@
 // vm. The request is valid only if there are no errors.
 func NewCall(vm, organisation, service string, call Call, limits Limits, now time.Time) (Request, []FieldError) {
 	checker := &checker{limits: limits}
-	checker.name("service", service, true)
+	checker.validateName("service", service, true)
 	request := Request{
 		ID:           NewID(vm),
 		Organisation: organisation,
@@ -156,7 +156,7 @@
 		Body:         []byte(call.Body),
 		Mode:         ModeStream,
 	}
-	return checker.repetition(request, call.TimeMS, call.Repeatable, call.Key, now), checker.errors
+	return checker.validateRepetition(request, call.TimeMS, call.Repeatable, call.Key, now), checker.errors
 }
 
 // NewID returns a new, unique request ID that contains the name of vm.
@@ -201,40 +201,40 @@
 	errors []FieldError
 }
 
-func (checker *checker) that(ok bool, field, problem string) {
+func (checker *checker) require(ok bool, field, problem string) {
 	if !ok {
 		checker.errors = append(checker.errors, FieldError{Field: field, Problem: problem})
 	}
 }
 
-func (checker *checker) name(field, value string, required bool) {
-	checker.that(value != "" || !required, field, "must not be empty")
-	checker.that(len(value) <= checker.limits.MaxNameLength, field,
+func (checker *checker) validateName(field, value string, required bool) {
+	checker.require(value != "" || !required, field, "must not be empty")
+	checker.require(len(value) <= checker.limits.MaxNameLength, field,
 		fmt.Sprintf("must have at most %d characters", checker.limits.MaxNameLength))
-	checker.that(!strings.ContainsFunc(value, notPrintable), field, "must be printable ASCII")
+	checker.require(!strings.ContainsFunc(value, isNotPrintable), field, "must be printable ASCII")
 }
 
-func notPrintable(r rune) bool {
+func isNotPrintable(r rune) bool {
 	return r < ' ' || r > '~'
 }
 
-// repetition validates the time limit, the repeatability and the key, and returns
+// validateRepetition validates the time limit, the repeatability and the key, and returns
 // the request with them.
-func (checker *checker) repetition(
+func (checker *checker) validateRepetition(
 	request Request, timeMS int64, repeatable *bool, key string, now time.Time,
 ) Request {
 	limits := checker.limits
-	request.Time = time.Duration(timeMS) * time.Millisecond
+	request.TimeLimit = time.Duration(timeMS) * time.Millisecond
 	inRange := timeMS >= limits.MinTime.Milliseconds() && timeMS <= limits.MaxTime.Milliseconds()
-	checker.that(inRange, "time_ms", fmt.Sprintf("must be from %d to %d, is %d",
+	checker.require(inRange, "time_ms", fmt.Sprintf("must be from %d to %d, is %d",
 		limits.MinTime.Milliseconds(), limits.MaxTime.Milliseconds(), timeMS))
 	if repeatable == nil {
-		checker.that(false, "repeatable", "must be stated")
+		checker.require(false, "repeatable", "must be stated")
 		return request
 	}
 	request.Repeatable = *repeatable
 	if request.Repeatable {
-		checker.that(key == "", "key", "must be empty when repeatable is true")
+		checker.require(key == "", "key", "must be empty when repeatable is true")
 		return request
 	}
 	parsed, err := ledger.NewKey(request.Organisation, key)
@@ -242,7 +242,7 @@
 		err = parsed.CheckTime(now, limits.MaxKeyAhead)
 	}
 	if err != nil {
-		checker.that(false, "key", err.Error())
+		checker.require(false, "key", err.Error())
 	}
 	request.Key = parsed
 	return request
