--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -37,20 +37,20 @@
 // Numbers of repetitions per measurement of operations that are too fast to be
 // measured once, and the number of keys per batch of records.
 const (
-	decisions     = 20_000
+	decisionCount = 20_000
 	pollRounds    = 20
-	changes       = 50
+	changeCount   = 50
 	keysPerEntry  = 10
-	stateOverhead = 2 // garbage collections before the heap is measured, so that unreachable memory isn't counted
+	gcRuns        = 2 // garbage collections before the heap is measured, so that unreachable memory isn't counted
 )
 
 // Series has the cost of a component at several sizes.
 type Series struct {
 	Name string
 	// Unit is the unit of the cost, and PerUnit the unit of the size.
-	Unit   string
-	Of     string
-	Points []Point
+	Unit    string
+	PerUnit string
+	Points  []Point
 }
 
 // Point is the cost at one size.
@@ -79,33 +79,33 @@
 		return nil, err
 	}
 	return []Series{
-		measure("memory of keys", "bytes", "key", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
-			return heapOf(func() *state.State { return withKeys(size) })
+		newSeries("memory of keys", "bytes", "key", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
+			return heapGrowth(func() *state.State { return stateWithKeys(size) })
 		}),
-		measure("checkpoint of keys", "bytes", "key", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
-			return float64(proto.Size(withKeys(size).Encode()))
+		newSeries("checkpoint of keys", "bytes", "key", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
+			return float64(proto.Size(stateWithKeys(size).Encode()))
 		}),
-		measure("fold of keys", "µs CPU", "key (begin and finish)", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
-			return microseconds(func() { withKeys(size) })
+		newSeries("fold of keys", "µs CPU", "key (begin and finish)", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
+			return cpuMicroseconds(func() { stateWithKeys(size) })
 		}),
-		measure("memory of organisations", "bytes", "organisation", []int{2_500, 5_000, 10_000, 20_000}, func(size int) float64 {
-			return heapOf(func() *state.State { return withOrganisations(size) })
+		newSeries("memory of organisations", "bytes", "organisation", []int{2_500, 5_000, 10_000, 20_000}, func(size int) float64 {
+			return heapGrowth(func() *state.State { return stateWithOrganisations(size) })
 		}),
-		measure("one change of configuration", "µs CPU", "organisation", []int{2_500, 5_000, 10_000, 20_000}, measureChange),
-		measure("records on the log", "bytes", "key (begin and finish)", []int{100, 200, 400, 800}, func(size int) float64 {
+		newSeries("one change of configuration", "µs CPU", "organisation", []int{2_500, 5_000, 10_000, 20_000}, measureConfigurationChange),
+		newSeries("records on the log", "bytes", "key (begin and finish)", []int{100, 200, 400, 800}, func(size int) float64 {
 			return float64(proto.Size(keyRecords(size)))
 		}),
-		measure("one frame of loads, keeper to entry", "bytes", "engine", []int{20, 100, 300, 600}, func(size int) float64 {
+		newSeries("one frame of loads, keeper to entry", "bytes", "engine", []int{20, 100, 300, 600}, func(size int) float64 {
 			return float64(proto.Size(loadsFrame(size)))
 		}),
-		measure("snapshot and decision for a short prompt", "µs CPU", "server", []int{20, 100, 300, 600}, measureDecision),
+		newSeries("snapshot and decision for a short prompt", "µs CPU", "server", []int{20, 100, 300, 600}, measureDecision),
 		polls,
 	}, nil
 }
 
 // newSeries returns a series of the cost at each size.
-func measure(name, unit, of string, sizes []int, cost func(size int) float64) Series {
-	series := Series{Name: name, Unit: unit, Of: of}
+func newSeries(name, unit, of string, sizes []int, cost func(size int) float64) Series {
+	series := Series{Name: name, Unit: unit, PerUnit: of}
 	for _, size := range sizes {
 		series.Points = append(series.Points, Point{Size: size, Cost: cost(size)})
 	}
@@ -133,7 +133,7 @@
 
 // stateWithKeys returns a state after applying the records of the given number of
 // keys, in encoded batches as on the log.
-func withKeys(size int) *state.State {
+func stateWithKeys(size int) *state.State {
 	current := state.New()
 	for range size / keysPerEntry {
 		data, err := proto.Marshal(keyRecords(keysPerEntry))
@@ -161,7 +161,7 @@
 }
 
 // stateWithOrganisations returns a state with the given number of organisations.
-func withOrganisations(size int) *state.State {
+func stateWithOrganisations(size int) *state.State {
 	current := state.New()
 	for i := range size {
 		apply(current, uint64(i), putOrganisation(i, 0))
@@ -187,13 +187,13 @@
 
 // measureConfigurationChange returns the CPU time in microseconds of applying one
 // change to a state with the given number of organisations.
-func measureChange(size int) float64 {
-	current := withOrganisations(size)
-	return microseconds(func() {
-		for i := range changes {
+func measureConfigurationChange(size int) float64 {
+	current := stateWithOrganisations(size)
+	return cpuMicroseconds(func() {
+		for i := range changeCount {
 			apply(current, current.Next, putOrganisation(size+i, 0))
 		}
-	}) / changes
+	}) / changeCount
 }
 
 // measureDecision returns the CPU time in microseconds of a snapshot of the given
@@ -210,17 +210,17 @@
 	policy := routing.NewLengthAware(routing.DefaultLengthAwareSettings())
 	random := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // fixed seed
 	request := routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: time.Second}
-	return microseconds(func() {
-		for range decisions {
+	return cpuMicroseconds(func() {
+		for range decisionCount {
 			policy.Decide(servers.Snapshot(infra.KindEngine, func(string) bool { return false }), request, random)
 		}
-	}) / decisions
+	}) / decisionCount
 }
 
 // measurePolls measures the CPU time of polling each engine's load once over HTTP
 // on this machine, of client and servers together.
 func measurePolls(ctx context.Context) (Series, error) {
-	series := Series{Name: "one round of load polls (both ends)", Unit: "µs CPU", Of: "engine"}
+	series := Series{Name: "one round of load polls (both ends)", Unit: "µs CPU", PerUnit: "engine"}
 	client := backend.NewHTTPBackend()
 	for _, size := range []int{10, 20, 40, 80} {
 		addresses, stop := startEngines(size)
@@ -229,7 +229,7 @@
 			stop()
 			return series, err
 		}
-		cost := microseconds(func() {
+		cost := cpuMicroseconds(func() {
 			for range pollRounds {
 				err = errors.CombineErrors(err, pollAll(ctx, client, addresses))
 			}
@@ -275,17 +275,17 @@
 }
 
 // heapGrowth returns the memory that the result of build uses, in bytes.
-func heapOf(build func() *state.State) float64 {
-	before := heap()
+func heapGrowth(build func() *state.State) float64 {
+	before := heapInUse()
 	built := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(built)
 	return float64(after) - float64(before)
 }
 
 // heapInUse returns the size of reachable heap memory in bytes.
-func heap() uint64 {
-	for range stateOverhead {
+func heapInUse() uint64 {
+	for range gcRuns {
 		runtime.GC()
 	}
 	var stats runtime.MemStats
@@ -295,14 +295,14 @@
 
 // cpuMicroseconds returns the CPU time in microseconds that this process uses
 // while work runs.
-func microseconds(work func()) float64 {
-	before := processorTime()
+func cpuMicroseconds(work func()) float64 {
+	before := cpuTime()
 	work()
-	return float64(processorTime()-before) / float64(time.Microsecond)
+	return float64(cpuTime()-before) / float64(time.Microsecond)
 }
 
 // cpuTime returns the user and system CPU time of this process so far.
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	if err != nil {
@@ -323,7 +323,7 @@
 		}
 		base, slope := series.Slope()
 		fmt.Fprintf(table, "| %s (%s)\t| %s\t| %.3g\t| %.3g per %s\t|\n",
-			series.Name, series.Unit, strings.Join(points, ", "), base, slope, series.Of)
+			series.Name, series.Unit, strings.Join(points, ", "), base, slope, series.PerUnit)
 	}
 	_ = table.Flush()
 }
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -46,7 +46,7 @@
 			return errors.Wrap(err, "report")
 		}
 	}
-	if report.Check.Broken() {
+	if report.Check.Violated() {
 		return errors.New("the load test found violations")
 	}
 	return nil
--- a/internal/entry/streamcluster_test.go
+++ b/internal/entry/streamcluster_test.go
@@ -88,7 +88,7 @@
 		old.Close()
 	}
 	cluster.goroutines.Go(started.Run)
-	cluster.goroutines.Go(func() { started.Housekeep(ctx) })
+	cluster.goroutines.Go(func() { started.RunMaintenance(ctx) })
 }
 
 func (cluster *streamCluster) engine(id string) *engine.Engine {
--- a/internal/entry/streams_test.go
+++ b/internal/entry/streams_test.go
@@ -81,7 +81,7 @@
 			}
 		}
 		for id, engine := range cluster.engines {
-			if free := engine.Truth().FreeTokens; free != engineMemoryTokens && violation == nil {
+			if free := engine.CurrentLoad().FreeTokens; free != engineMemoryTokens && violation == nil {
 				violation = errors.Newf("%s has %d free tokens of memory after all requests have ended", id, free)
 			}
 			engine.Close()
--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -110,19 +110,19 @@
 			fleet.configure(2, nil)
 		}},
 		"store rolls back to an earlier state": {act: func(fleet *fleet) {
-			snapshot := fleet.store.Copy()
+			snapshot := fleet.store.Snapshot()
 			fleet.evacuate(evacuatedDataCentre, true)
 			time.Sleep(evacuationBound)
 			fleet.store.SetFault(metastore.FaultBusy)
 			time.Sleep(300 * time.Millisecond)
-			fleet.store.Return(snapshot)
+			fleet.store.Restore(snapshot)
 			fleet.store.SetFault(metastore.FaultNone)
 			time.AfterFunc(1800*time.Millisecond, func() { fleet.evacuate(evacuatedDataCentre, true) })
 		}},
 		"store unreachable afterwards": {act: func(fleet *fleet) {
 			fleet.evacuate(evacuatedDataCentre, true)
 			time.Sleep(evacuationBound)
-			fleet.store.SetFault(metastore.FaultSilent)
+			fleet.store.SetFault(metastore.FaultNoResponse)
 		}},
 		"cancelled": {mayServe: true, act: func(fleet *fleet) {
 			fleet.evacuate(evacuatedDataCentre, true)
@@ -132,10 +132,10 @@
 		"cancelled, then store rolls back": {mayServe: true, act: func(fleet *fleet) {
 			fleet.evacuate(evacuatedDataCentre, true)
 			time.Sleep(evacuationBound)
-			snapshot := fleet.store.Copy()
+			snapshot := fleet.store.Snapshot()
 			fleet.evacuate(evacuatedDataCentre, false)
 			time.Sleep(evacuationBound)
-			fleet.store.Return(snapshot)
+			fleet.store.Restore(snapshot)
 			time.AfterFunc(time.Second, func() { fleet.evacuate(evacuatedDataCentre, false) })
 		}},
 		"unknown data centre":        {mayServe: true, act: func(fleet *fleet) { fleet.evacuate("centre-9", true) }},
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -43,7 +43,7 @@
 	stopped         chan error
 	stopRequestedAt time.Time
 	// beforeStart is a copy of the store from before the start of the VM.
-	beforeStart metastore.Copy
+	beforeStart metastore.Snapshot
 	// addresses has the addresses of the servers by ID.
 	addresses map[string]string
 	// suspended is the total time for which the VM was suspended, in nanoseconds.
@@ -95,7 +95,7 @@
 			}
 		}
 		harness.configure(1, nil)
-		harness.beforeStart = harness.store.Copy()
+		harness.beforeStart = harness.store.Snapshot()
 		harness.start()
 		defer harness.finish()
 		test(harness)
@@ -287,6 +287,6 @@
 
 // Faults of the store that tests use often.
 const (
-	metastoreSilent = metastore.FaultSilent
+	metastoreSilent = metastore.FaultNoResponse
 	metastoreBusy   = metastore.FaultBusy
 )
--- a/internal/gateway/random_faults_test.go
+++ b/internal/gateway/random_faults_test.go
@@ -115,7 +115,7 @@
 func (oracle *oracle) runSeed(harness *harness, seed int) {
 	random := rand.New(rand.NewPCG(uint64(seed), 2))
 	requests := []clientRequest{plainRequest(http.MethodGet, "look"), plainRequest(http.MethodPost, "pay"), streamRequest("chat"), streamRequest("bill")}
-	faults := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultSilent, metastore.FaultReset}
+	faults := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultNoResponse, metastore.FaultReset}
 	fault := faults[random.IntN(len(faults))]
 	time.AfterFunc(randomTime/4, func() { harness.store.SetFault(fault) })
 	time.AfterFunc(randomTime/2, func() { harness.store.SetFault(metastore.FaultNone) })
--- a/internal/gateway/rollback_fleet_test.go
+++ b/internal/gateway/rollback_fleet_test.go
@@ -17,12 +17,12 @@
 // rollBackRevocation revokes the API key of the clients, stops the store, and starts it again 0.3 s later from a copy without
 // the revocation. That is written again 1.8 s after the stop. It returns a given time after the stop.
 func (fleet *fleet) rollBackRevocation(delay time.Duration) {
-	snapshot := fleet.store.Copy()
+	snapshot := fleet.store.Snapshot()
 	fleet.configure(2, revokeKey)
 	time.Sleep(6 * time.Second)
 	fleet.store.SetFault(metastore.FaultBusy)
 	time.AfterFunc(300*time.Millisecond, func() {
-		fleet.store.Return(snapshot)
+		fleet.store.Restore(snapshot)
 		fleet.store.SetFault(metastore.FaultNone)
 	})
 	time.AfterFunc(1800*time.Millisecond, func() { fleet.configure(2, revokeKey) })
@@ -63,11 +63,11 @@
 // must not be accepted before the operator has had time to write the revocation again.
 func TestAllVMsStartAfterRollback(t *testing.T) {
 	withFleet(t, 3, 3, func(fleet *fleet) {
-		snapshot := fleet.store.Copy()
+		snapshot := fleet.store.Snapshot()
 		fleet.configure(2, revokeKey)
 		time.Sleep(6 * time.Second)
 		fleet.stopAll()
-		fleet.store.Return(snapshot)
+		fleet.store.Restore(snapshot)
 		time.AfterFunc(1500*time.Millisecond, func() { fleet.configure(2, revokeKey) })
 		for _, vm := range fleet.vms {
 			fleet.start(vm)
@@ -108,7 +108,7 @@
 				running := fleet.listen(newAddress, fleet.scripted(newID, responses(http.StatusOK, "new")))
 				defer func() { _ = running.Close() }()
 				drainingServer := fleet.servers[1]
-				snapshot := fleet.store.Copy()
+				snapshot := fleet.store.Snapshot()
 				writeEntries := func() {
 					fleet.configure(2, revokeKey)
 					fleet.putServer(drainingServer.id(), drainingServer.service, drainingServer.address, "draining")
@@ -119,7 +119,7 @@
 				before := len(fleet.arrivals(drainingServer.id()))
 				maxCalls := fleet.watchStoreCalls()
 				for _, after := range []time.Duration{time.Second, 1500 * time.Millisecond} {
-					fleet.store.Return(snapshot)
+					fleet.store.Restore(snapshot)
 					time.AfterFunc(after, writeEntries)
 					fleet.assertOnlyOpenServed(4 * time.Second)
 				}
--- a/internal/gateway/rollback_test.go
+++ b/internal/gateway/rollback_test.go
@@ -21,10 +21,10 @@
 	}
 	for name, test := range map[string]func(harness *harness){
 		"record before a reused offset": func(harness *harness) {
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.putReady("plain-one")
 			time.Sleep(time.Second)
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			harness.putReady("plain-late")
 			harness.putReady("plain-one")
 			time.Sleep(3 * time.Second)
@@ -33,13 +33,13 @@
 			assert.Assert(harness.t, len(harness.arrivals("plain-late")) > before)
 		},
 		"entries of servers not written again yet": func(harness *harness) {
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.putReady("plain-late")
 			time.Sleep(time.Second)
 			harness.deleteEntry("plain-one")
 			harness.deleteEntry("plain-two")
 			time.Sleep(time.Second)
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			harness.deleteEntry("plain-one") // these two had left before the rollback
 			harness.deleteEntry("plain-two")
 			assertAllServed(harness, open, 1500*time.Millisecond)
@@ -49,11 +49,11 @@
 		"server whose entry was deleted": func(harness *harness) {
 			harness.putReady("plain-late")
 			time.Sleep(time.Second)
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.deleteEntry("plain-one")
 			time.Sleep(time.Second)
 			before := len(harness.arrivals("plain-one"))
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			time.AfterFunc(3*time.Second, func() { harness.deleteEntry("plain-one") }) // its entry expires
 			assertAllServed(harness, open, 6*time.Second)
 			assert.Equal(harness.t, len(harness.arrivals("plain-one")), before)
@@ -61,29 +61,29 @@
 		"server that drains": func(harness *harness) {
 			harness.putReady("plain-late")
 			time.Sleep(time.Second)
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.putServer("plain-one", "plain", harness.addresses["plain-one"], "draining")
 			time.Sleep(time.Second)
 			before := len(harness.arrivals("plain-one"))
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			assertAllServed(harness, open, 6*time.Second)
 			assert.Equal(harness.t, len(harness.arrivals("plain-one")), before)
 		},
 		"revoked key": func(harness *harness) {
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.configure(2, revokeKey)
 			time.Sleep(time.Second)
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			time.AfterFunc(time.Second, func() { harness.configure(2, revokeKey) })
 			for _, got := range harness.queryEvery(plainRequest(http.MethodGet, "look"), 50*time.Millisecond, 6*time.Second) {
 				assert.Assert(harness.t, got.status != http.StatusOK)
 			}
 		},
 		"keys are refused until the configuration is written again": func(harness *harness) {
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			harness.configure(2, nil)
 			time.Sleep(time.Second)
-			harness.store.Return(snapshot)
+			harness.store.Restore(snapshot)
 			time.Sleep(5 * time.Second)
 			for _, got := range harness.queryEvery(plainRequest(http.MethodGet, "look"), 50*time.Millisecond, time.Second) {
 				assert.Assert(harness.t, got.status == http.StatusServiceUnavailable, got.status)
@@ -95,17 +95,17 @@
 		"entry of the VM itself": func(harness *harness) {
 			members := harness.store.Keys("keyed.members")
 			assert.Equal(harness.t, len(members), 1)
-			harness.store.Return(harness.beforeStart)
+			harness.store.Restore(harness.beforeStart)
 			assert.Equal(harness.t, len(harness.store.Keys("keyed.members")), 0)
 			time.Sleep(15 * time.Second)
 			assert.DeepEqual(harness.t, harness.store.Keys("keyed.members"), members)
 		},
 		"two rollbacks in a row": func(harness *harness) {
-			snapshot := harness.store.Copy()
+			snapshot := harness.store.Snapshot()
 			for range 2 {
 				harness.putReady("plain-late")
 				time.Sleep(500 * time.Millisecond)
-				harness.store.Return(snapshot)
+				harness.store.Restore(snapshot)
 				assertAllServed(harness, open, 300*time.Millisecond)
 			}
 			harness.putReady("plain-late")
--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -23,8 +23,8 @@
 	// Seed is the seed of the prompt's text.
 	Seed   uint64
 	Tokens int
-	// Entry is the index of the entry to which the request is sent first.
-	Entry int
+	// EntryIndex is the index of the entry to which the request is sent first.
+	EntryIndex int
 	// Duplicated makes the caller send the request twice at once.
 	Duplicated bool
 }
@@ -61,7 +61,7 @@
 			Organisation: settings.Organisations[random.IntN(len(settings.Organisations))],
 			Seed:         random.Uint64(),
 			Tokens:       class.TokensMin + random.IntN(class.TokensMax-class.TokensMin+1),
-			Entry:        random.IntN(len(settings.Entries)),
+			EntryIndex:   random.IntN(len(settings.Entries)),
 			Duplicated:   class.Unrepeatable && random.Float64() < class.Duplicates,
 		})
 	}
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -33,7 +33,7 @@
 )
 
 // Result is a caller's observations of one request.
-type Answer struct {
+type Result struct {
 	Arrival   Arrival
 	RequestID string
 	Key       string
@@ -42,8 +42,8 @@
 	Reason request.Reason
 	// FirstToken is the time to first token, or zero if there was none.
 	// InterTokenLatencies are the times between tokens.
-	FirstToken time.Duration
-	Gaps       []time.Duration
+	FirstToken          time.Duration
+	InterTokenLatencies []time.Duration
 	// Total is the time until the outcome, or until the caller gave up.
 	Total  time.Duration
 	Tokens int
@@ -54,53 +54,53 @@
 	Duplicate bool
 	// DoubledTokens, MissingTokens and ForeignTokens are the numbers of tokens
 	// received twice, not received, and belonging to another prompt.
-	Doubled int
-	Missing int
-	Foreign int
+	DoubledTokens int
+	MissingTokens int
+	ForeignTokens int
 }
 
 // caller sends one request and collects its result.
-type call struct {
-	answer  Answer
+type caller struct {
+	result  Result
 	client  *http.Client
 	entries []string
 	// entryIndex is the index of the entry in use.
-	at   int
-	body []byte
+	entryIndex int
+	body       []byte
 	// digest is the hash of the prompt, which identifies its tokens.
 	digest uint64
-	sent   time.Time
+	sentAt time.Time
 	// lastTokenAt is the time of the last token, and lastEventID its event ID.
-	last   time.Time
-	lastID string
+	lastTokenAt time.Time
+	lastEventID string
 	// disconnected reports that the caller has disconnected on purpose.
-	cut bool
+	disconnected bool
 }
 
 // submit sends an arrival and reads its response to the end. After a failure, it
 // retries or resumes at the next entry.
-func submit(ctx context.Context, client *http.Client, entries []string, arrival Arrival, key string) Answer {
+func submit(ctx context.Context, client *http.Client, entries []string, arrival Arrival, key string) Result {
 	prompt := arrival.Prompt()
-	caller := &call{
-		answer:  Answer{Arrival: arrival, Key: key},
-		client:  client,
-		entries: entries,
-		at:      arrival.Entry,
-		body:    newBody(arrival, prompt, key),
-		digest:  xxhash.Sum64String(prompt),
+	caller := &caller{
+		result:     Result{Arrival: arrival, Key: key},
+		client:     client,
+		entries:    entries,
+		entryIndex: arrival.EntryIndex,
+		body:       newBody(arrival, prompt, key),
+		digest:     xxhash.Sum64String(prompt),
 	}
-	caller.sent = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, caller.sent.Add(arrival.Class.Time+graceTime))
+	caller.sentAt = time.Now()
+	ctx, cancel := context.WithDeadline(ctx, caller.sentAt.Add(arrival.Class.Time+graceTime))
 	defer cancel()
-	for ctx.Err() == nil && caller.answer.Kind == "" {
+	for ctx.Err() == nil && caller.result.Kind == "" {
 		err := caller.attempt(ctx)
 		if err != nil {
-			caller.at = (caller.at + 1) % len(entries)
+			caller.entryIndex = (caller.entryIndex + 1) % len(entries)
 			wait.For(ctx, retryPause)
 		}
 	}
-	caller.answer.Total = time.Since(caller.sent)
-	return caller.answer
+	caller.result.Total = time.Since(caller.sentAt)
+	return caller.result
 }
 
 // newBody returns the body of the request that submits an arrival.
@@ -136,24 +136,24 @@
 
 // attempt submits the request, or resumes it if its ID is known. It returns an
 // error if there is no outcome yet.
-func (caller *call) attempt(ctx context.Context) error {
+func (caller *caller) attempt(ctx context.Context) error {
 	method, path, body := http.MethodPost, "/v1/requests", caller.body
 	switch {
-	case caller.answer.RequestID != "" && caller.streams():
-		method, path, body = http.MethodGet, "/v1/requests/"+caller.answer.RequestID+"/stream", nil
-		caller.answer.Resumes++
-	case caller.answer.RequestID != "":
-		method, path, body = http.MethodGet, "/v1/requests/"+caller.answer.RequestID, nil
-	case !caller.streams():
-		path = "/v1/services/" + caller.answer.Arrival.Class.Service
+	case caller.result.RequestID != "" && caller.isStreaming():
+		method, path, body = http.MethodGet, "/v1/requests/"+caller.result.RequestID+"/stream", nil
+		caller.result.Resumes++
+	case caller.result.RequestID != "":
+		method, path, body = http.MethodGet, "/v1/requests/"+caller.result.RequestID, nil
+	case !caller.isStreaming():
+		path = "/v1/services/" + caller.result.Arrival.Class.Service
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+caller.entries[caller.at]+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+caller.entries[caller.entryIndex]+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	httpRequest.Header.Set(entry.HeaderOrganisation, caller.answer.Arrival.Organisation)
-	if caller.lastID != "" {
-		httpRequest.Header.Set("Last-Event-ID", caller.lastID)
+	httpRequest.Header.Set(entry.HeaderOrganisation, caller.result.Arrival.Organisation)
+	if caller.lastEventID != "" {
+		httpRequest.Header.Set("Last-Event-ID", caller.lastEventID)
 	}
 	response, err := caller.client.Do(httpRequest)
 	if err != nil {
@@ -167,12 +167,12 @@
 }
 
 // isStreaming reports whether the response is a stream of tokens.
-func (caller *call) streams() bool {
-	return caller.answer.Arrival.Class.Service == ""
+func (caller *caller) isStreaming() bool {
+	return caller.result.Arrival.Class.Service == ""
 }
 
 // readStatus handles a response that isn't an event stream.
-func (caller *call) readStatus(response *http.Response) error {
+func (caller *caller) readStatus(response *http.Response) error {
 	var status entry.Status
 	err := json.NewDecoder(response.Body).Decode(&status)
 	if err != nil {
@@ -185,34 +185,34 @@
 		// A load balancer would have sent the request to another entry.
 		return errors.New("entry is shutting down")
 	}
-	caller.answer.RequestID = status.RequestID
-	caller.answer.Duplicate = caller.answer.Duplicate || status.Duplicate
+	caller.result.RequestID = status.RequestID
+	caller.result.Duplicate = caller.result.Duplicate || status.Duplicate
 	if status.Running {
 		return errors.New("request is still running")
 	}
-	caller.end(status)
-	if caller.streams() || status.Outcome != request.KindCompleted || !status.AnswerAvailable {
+	caller.setOutcome(status)
+	if caller.isStreaming() || status.Outcome != request.KindCompleted || !status.AnswerAvailable {
 		return nil
 	}
-	caller.answer.FirstToken = time.Since(caller.sent)
-	caller.answer.Tokens = 1
+	caller.result.FirstToken = time.Since(caller.sentAt)
+	caller.result.Tokens = 1
 	if xxhash.Sum64String(status.Text) != caller.digest {
-		caller.answer.Foreign++
+		caller.result.ForeignTokens++
 	}
 	return nil
 }
 
 // setOutcome sets the outcome.
-func (caller *call) end(status entry.Status) {
-	caller.answer.Kind = status.Outcome
-	caller.answer.Reason = status.Reason
+func (caller *caller) setOutcome(status entry.Status) {
+	caller.result.Kind = status.Outcome
+	caller.result.Reason = status.Reason
 }
 
 // readEvents handles an event stream until the outcome. It returns an error if the
 // stream ends without an outcome, or the caller disconnects on purpose as
 // configured for the class.
-func (caller *call) readEvents(response *http.Response) error {
-	caller.answer.RequestID = response.Header.Get(entry.HeaderRequestID)
+func (caller *caller) readEvents(response *http.Response) error {
+	caller.result.RequestID = response.Header.Get(entry.HeaderRequestID)
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	var id, name string
@@ -224,7 +224,7 @@
 		case strings.HasPrefix(line, "event: "):
 			name = line[len("event: "):]
 		case strings.HasPrefix(line, "data: "):
-			done, err := caller.event(name, id, line[len("data: "):])
+			done, err := caller.handleEvent(name, id, line[len("data: "):])
 			if done || err != nil {
 				return err
 			}
@@ -234,7 +234,7 @@
 }
 
 // handleEvent handles one event, and reports whether it was the last.
-func (caller *call) event(name, id, data string) (bool, error) {
+func (caller *caller) handleEvent(name, id, data string) (bool, error) {
 	switch name {
 	case entry.EventToken:
 		var token entry.TokenEvent
@@ -243,9 +243,9 @@
 			return false, errors.WithStack(err)
 		}
 		caller.token(token)
-		caller.lastID = id
-		if cutAfter := caller.answer.Arrival.Class.CutAfter; cutAfter > 0 && !caller.cut && caller.answer.Tokens >= cutAfter {
-			caller.cut = true
+		caller.lastEventID = id
+		if cutAfter := caller.result.Arrival.Class.CutAfter; cutAfter > 0 && !caller.disconnected && caller.result.Tokens >= cutAfter {
+			caller.disconnected = true
 			return false, errors.New("caller disconnected on purpose")
 		}
 	case entry.EventDuplicate:
@@ -254,8 +254,8 @@
 		if err != nil {
 			return false, errors.WithStack(err)
 		}
-		caller.answer.RequestID = status.RequestID
-		caller.answer.Duplicate = true
+		caller.result.RequestID = status.RequestID
+		caller.result.Duplicate = true
 		return false, errors.New("key belongs to an earlier request")
 	case entry.EventOutcome:
 		var status entry.Status
@@ -263,35 +263,35 @@
 		if err != nil {
 			return false, errors.WithStack(err)
 		}
-		caller.end(status)
+		caller.setOutcome(status)
 		return true, nil
 	}
 	return false, nil
 }
 
 // token records a token, and checks its number and text against the expected ones.
-func (caller *call) token(token entry.TokenEvent) {
+func (caller *caller) token(token entry.TokenEvent) {
 	now := time.Now()
-	if caller.answer.Tokens == 0 {
-		caller.answer.FirstToken = now.Sub(caller.sent)
+	if caller.result.Tokens == 0 {
+		caller.result.FirstToken = now.Sub(caller.sentAt)
 	} else {
-		caller.answer.Gaps = append(caller.answer.Gaps, now.Sub(caller.last))
+		caller.result.InterTokenLatencies = append(caller.result.InterTokenLatencies, now.Sub(caller.lastTokenAt))
 	}
-	caller.last = now
+	caller.lastTokenAt = now
 	switch {
-	case token.Seq < caller.answer.Tokens:
-		caller.answer.Doubled++
-	case token.Seq > caller.answer.Tokens:
-		caller.answer.Missing += token.Seq - caller.answer.Tokens
+	case token.Seq < caller.result.Tokens:
+		caller.result.DoubledTokens++
+	case token.Seq > caller.result.Tokens:
+		caller.result.MissingTokens += token.Seq - caller.result.Tokens
 	}
 	if token.Text != engine.TokenText(caller.digest, token.Seq) {
-		caller.answer.Foreign++
+		caller.result.ForeignTokens++
 	}
-	caller.answer.Tokens = token.Seq + 1
+	caller.result.Tokens = token.Seq + 1
 }
 
 // String describes the result for messages.
-func (result Answer) String() string {
+func (result Result) String() string {
 	return fmt.Sprintf("%s %s (%s, %d tokens): %s %s", result.Arrival.Class.Name, result.RequestID,
 		result.Arrival.Organisation, result.Arrival.Tokens, result.Kind, result.Reason)
 }
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -14,18 +14,18 @@
 
 // submitDirect sends an arrival to one of the engines, chosen by the arrival's
 // seed, and reads the response.
-func submitDirect(ctx context.Context, engines backend.Engine, addresses []string, arrival Arrival) Answer {
+func submitDirect(ctx context.Context, engines backend.Engine, addresses []string, arrival Arrival) Result {
 	prompt := arrival.Prompt()
-	caller := &call{
-		answer: Answer{Arrival: arrival, RequestID: "direct." + uuid.NewString()},
+	caller := &caller{
+		result: Result{Arrival: arrival, RequestID: "direct." + uuid.NewString()},
 		digest: xxhash.Sum64String(prompt),
-		sent:   time.Now(),
+		sentAt: time.Now(),
 	}
 	ctx, cancel := context.WithTimeout(ctx, arrival.Class.Time)
 	defer cancel()
 	stream, err := engines.Generate(ctx, addresses[arrival.Seed%uint64(len(addresses))], backend.Dispatch{
-		Attempt:      caller.answer.RequestID,
-		Request:      caller.answer.RequestID,
+		Attempt:      caller.result.RequestID,
+		Request:      caller.result.RequestID,
 		Organisation: arrival.Organisation,
 		Owner:        "direct",
 		Model:        arrival.Class.Model,
@@ -35,29 +35,29 @@
 		TimeLeft:     arrival.Class.Time,
 	})
 	if err != nil {
-		caller.answer.Kind = request.KindFailedMayHaveRun
-		caller.answer.Total = time.Since(caller.sent)
-		return caller.answer
+		caller.result.Kind = request.KindFailedMayHaveRun
+		caller.result.Total = time.Since(caller.sentAt)
+		return caller.result
 	}
 	defer stream.Close()
 	caller.readFrames(stream)
-	caller.answer.Total = time.Since(caller.sent)
-	return caller.answer
+	caller.result.Total = time.Since(caller.sentAt)
+	return caller.result
 }
 
 // readFrames reads a stream of an engine until its end.
-func (caller *call) readFrames(stream backend.Stream) {
+func (caller *caller) readFrames(stream backend.Stream) {
 	for {
 		frame, err := stream.Next()
 		switch {
 		case err != nil:
-			caller.answer.Kind = request.KindFailedMayHaveRun
+			caller.result.Kind = request.KindFailedMayHaveRun
 			return
 		case frame.End == backend.EndCompleted:
-			caller.answer.Kind = request.KindCompleted
+			caller.result.Kind = request.KindCompleted
 			return
 		case frame.End != backend.EndNone:
-			caller.answer.Kind = request.KindFailedMayHaveRun
+			caller.result.Kind = request.KindFailedMayHaveRun
 			return
 		}
 		caller.token(entry.TokenEvent{Seq: frame.Seq, Text: frame.Text})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -57,7 +57,7 @@
 // record of executions is unavailable; the report then has no check.
 func (load *Load) Run(ctx context.Context) (Report, error) {
 	report := Report{Seed: load.settings.Seed}
-	var results []Answer
+	var results []Result
 	if load.hasBackground() {
 		phaseResults := load.phase(ctx, phaseAlone, Arrivals(load.settings, false))
 		report.Phases = append(report.Phases, newPhase(phaseAlone, phaseResults))
@@ -77,7 +77,7 @@
 		return report, err
 	}
 	report.Check = newCheck(results, executions, load.settings.Platform != "")
-	load.logBroken(results)
+	load.logViolations(results)
 	return report, nil
 }
 
@@ -91,11 +91,11 @@
 }
 
 // phase sends the arrivals at their scheduled times and waits for all results.
-func (load *Load) phase(ctx context.Context, name string, arrivals []Arrival) []Answer {
+func (load *Load) phase(ctx context.Context, name string, arrivals []Arrival) []Result {
 	load.logger.Info("starting phase", "phase", name, "requests", len(arrivals), "duration", load.settings.Duration)
 	var mu sync.Mutex
 	var requests sync.WaitGroup
-	var results []Answer
+	var results []Result
 	started := time.Now()
 	stop := load.progress(&mu, &results, len(arrivals))
 	defer stop()
@@ -116,27 +116,27 @@
 }
 
 // send sends an arrival and returns its result, or two results if it is duplicated.
-func (load *Load) send(ctx context.Context, arrival Arrival) []Answer {
+func (load *Load) send(ctx context.Context, arrival Arrival) []Result {
 	if arrival.Class.Direct {
-		return []Answer{submitDirect(ctx, load.backends, load.settings.Engines, arrival)}
+		return []Result{submitDirect(ctx, load.backends, load.settings.Engines, arrival)}
 	}
 	key := ""
 	if arrival.Class.Unrepeatable {
 		key = newKey()
 	}
 	if !arrival.Duplicated {
-		return []Answer{submit(ctx, load.client, load.settings.Entries, arrival, key)}
+		return []Result{submit(ctx, load.client, load.settings.Entries, arrival, key)}
 	}
 	second := arrival
-	second.Entry = (arrival.Entry + 1) % len(load.settings.Entries)
-	secondResult := make(chan Answer, 1)
+	second.EntryIndex = (arrival.EntryIndex + 1) % len(load.settings.Entries)
+	secondResult := make(chan Result, 1)
 	go func() { secondResult <- submit(ctx, load.client, load.settings.Entries, second, key) }()
-	return []Answer{submit(ctx, load.client, load.settings.Entries, arrival, key), <-secondResult}
+	return []Result{submit(ctx, load.client, load.settings.Entries, arrival, key), <-secondResult}
 }
 
 // progress logs the number of results periodically until the returned function is
 // called.
-func (load *Load) progress(mu *sync.Mutex, results *[]Answer, total int) func() {
+func (load *Load) progress(mu *sync.Mutex, results *[]Result, total int) func() {
 	ticker := time.NewTicker(progressPeriod)
 	done := make(chan struct{})
 	go func() {
@@ -179,13 +179,13 @@
 }
 
 // logViolations logs each result that violates a guarantee.
-func (load *Load) logBroken(results []Answer) {
+func (load *Load) logViolations(results []Result) {
 	for _, result := range results {
-		check := newCheck([]Answer{result}, nil, true)
-		if check.Broken() {
+		check := newCheck([]Result{result}, nil, true)
+		if check.Violated() {
 			load.logger.Warn("guarantee violated", "answer", result.String(), "total", result.Total,
 				"time", result.Arrival.Class.Time, "tokens", result.Tokens, "resumes", result.Resumes,
-				"lost", check.Lost, "late", check.Late, "doubled", check.Doubled, "missing", check.Missing, "foreign", check.Foreign)
+				"lost", check.Lost, "late", check.Late, "doubled", check.DoubledTokens, "missing", check.MissingTokens, "foreign", check.ForeignTokens)
 		}
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -33,14 +33,14 @@
 // ClassReport summarises the requests of a class in a phase. FirstToken is the time
 // to first token, and InterTokenLatency the time between tokens.
 type ClassReport struct {
-	Class       string         `json:"class"`
-	Requests    int            `json:"requests"`
-	FirstToken  Percentiles    `json:"first_token"`
-	TokenGap    Percentiles    `json:"between_tokens"`
-	Outcomes    map[string]int `json:"outcomes"`
-	Resumes     int            `json:"resumes"`
-	Duplicates  int            `json:"duplicate_answers"`
-	TotalTokens int            `json:"tokens"`
+	Class             string         `json:"class"`
+	Requests          int            `json:"requests"`
+	FirstToken        Percentiles    `json:"first_token"`
+	InterTokenLatency Percentiles    `json:"between_tokens"`
+	Outcomes          map[string]int `json:"outcomes"`
+	Resumes           int            `json:"resumes"`
+	Duplicates        int            `json:"duplicate_answers"`
+	TotalTokens       int            `json:"tokens"`
 }
 
 // Check counts violations of the system's guarantees. All counts must be zero.
@@ -50,24 +50,24 @@
 	// Late is the number of requests whose outcome came after the caller's deadline.
 	Late int `json:"late"`
 	// DoubledTokens is the number of tokens received twice.
-	Doubled int `json:"doubled_tokens"`
+	DoubledTokens int `json:"doubled_tokens"`
 	// MissingTokens is the number of tokens skipped in streams, or missing at the end of
 	// responses with the outcome completed.
-	Missing int `json:"missing_tokens"`
+	MissingTokens int `json:"missing_tokens"`
 	// ForeignTokens is the number of tokens that belong to the response to another prompt.
-	Foreign int `json:"foreign_tokens"`
+	ForeignTokens int `json:"foreign_tokens"`
 	// KeysRunTwice is the number of idempotency keys whose requests ran more than once.
-	Repeated int `json:"keys_run_twice"`
+	KeysRunTwice int `json:"keys_run_twice"`
 	// RunDespiteNotRun is the number of requests that ran although their outcome states
 	// that they did not run.
-	RunAfterAll int `json:"run_though_not_run"`
+	RunDespiteNotRun int `json:"run_though_not_run"`
 	// Unverified reports that no record of executions was available, so that
 	// KeysRunTwice and RunDespiteNotRun were not checked.
 	Unverified bool `json:"unverified,omitempty"`
 }
 
 // Violated reports whether any guarantee was violated.
-func (check Check) Broken() bool {
+func (check Check) Violated() bool {
 	check.Unverified = false
 	return check != Check{}
 }
@@ -98,8 +98,8 @@
 }
 
 // newPhase returns the report on a phase.
-func newPhase(name string, results []Answer) Phase {
-	byClass := make(map[string][]Answer)
+func newPhase(name string, results []Result) Phase {
+	byClass := make(map[string][]Result)
 	for _, result := range results {
 		class := result.Arrival.Class.Name
 		byClass[class] = append(byClass[class], result)
@@ -112,14 +112,14 @@
 	return phase
 }
 
-func newClassReport(class string, results []Answer) ClassReport {
+func newClassReport(class string, results []Result) ClassReport {
 	report := ClassReport{Class: class, Requests: len(results), Outcomes: make(map[string]int)}
 	firstTokens, gaps := newHistogram(), newHistogram()
 	for _, result := range results {
 		if result.FirstToken > 0 {
 			record(firstTokens, result.FirstToken)
 		}
-		for _, gap := range result.Gaps {
+		for _, gap := range result.InterTokenLatencies {
 			record(gaps, gap)
 		}
 		report.Outcomes[outcomeName(result)]++
@@ -130,13 +130,13 @@
 		}
 	}
 	report.FirstToken = percentiles(firstTokens)
-	report.TokenGap = percentiles(gaps)
+	report.InterTokenLatency = percentiles(gaps)
 	return report
 }
 
 // outcomeName returns the outcome and its reason, if any, or "lost" without an
 // outcome.
-func outcomeName(result Answer) string {
+func outcomeName(result Result) string {
 	switch {
 	case result.Kind == "":
 		return "lost"
@@ -166,7 +166,7 @@
 // newCheck checks the results against the system's guarantees, and against the
 // executions by the backend servers. verified reports whether executions were
 // available.
-func newCheck(results []Answer, executions []execution.Execution, verified bool) Check {
+func newCheck(results []Result, executions []execution.Execution, verified bool) Check {
 	check := Check{Unverified: !verified}
 	byRequest := make(map[string]int)
 	byKey := make(map[string]int)
@@ -181,7 +181,7 @@
 	}
 	for _, runs := range byKey {
 		if runs > 1 {
-			check.Repeated++
+			check.KeysRunTwice++
 		}
 	}
 	return check
@@ -189,24 +189,24 @@
 
 // add counts the violations of one result. runs has the number of executions by
 // request ID.
-func (check *Check) add(result Answer, runs map[string]int) {
+func (check *Check) add(result Result, runs map[string]int) {
 	if result.Kind == "" {
 		check.Lost++
 	} else if result.Total > result.Arrival.Class.Time {
 		check.Late++
 	}
-	check.Doubled += result.Doubled
-	check.Missing += result.Missing
-	check.Foreign += result.Foreign
+	check.DoubledTokens += result.DoubledTokens
+	check.MissingTokens += result.MissingTokens
+	check.ForeignTokens += result.ForeignTokens
 	expectedTokens := result.Arrival.Class.MaxTokens
 	if result.Arrival.Class.Service != "" {
 		expectedTokens = 1
 	}
 	if result.Kind == request.KindCompleted && !result.Duplicate {
-		check.Missing += max(0, expectedTokens-result.Tokens)
+		check.MissingTokens += max(0, expectedTokens-result.Tokens)
 	}
 	if result.Kind == request.KindFailedNotRun && runs[result.RequestID] > 0 {
-		check.RunAfterAll++
+		check.RunDespiteNotRun++
 	}
 }
 
@@ -239,7 +239,7 @@
 			fmt.Fprintf(table, "%s\t%s\t%d\t%.1f ms\t%.1f\t%.1f\t%.1f ms\t%.1f\t%.1f\t%d\t\n",
 				phase.Name, class.Class, class.Requests,
 				class.FirstToken.P50, class.FirstToken.P95, class.FirstToken.P99,
-				class.TokenGap.P50, class.TokenGap.P95, class.TokenGap.P99, class.Resumes)
+				class.InterTokenLatency.P50, class.InterTokenLatency.P95, class.InterTokenLatency.P99, class.Resumes)
 		}
 	}
 	_ = table.Flush()
@@ -250,7 +250,7 @@
 	}
 	check := report.Check
 	fmt.Fprintf(w, "lost %d, late %d, doubled tokens %d, missing tokens %d, foreign tokens %d, keys run twice %d, run although reported as not run %d\n",
-		check.Lost, check.Late, check.Doubled, check.Missing, check.Foreign, check.Repeated, check.RunAfterAll)
+		check.Lost, check.Late, check.DoubledTokens, check.MissingTokens, check.ForeignTokens, check.KeysRunTwice, check.RunDespiteNotRun)
 	if check.Unverified {
 		fmt.Fprintln(w, "executions not verified: no record of executions available")
 	}
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -139,7 +139,7 @@
 	request.header["Model"] = "m"
 	request.header["Prefix-Hash"] = "5c1e07a2:40"
 	body := &strings.Builder{}
-	for event := range platformserver.UsersModel().Events(out) {
+	for event := range platformserver.ProductionModel().EventCount(out) {
 		body.WriteString(platformserver.Event(request.outcome.ID, event+1))
 	}
 	request.outcome.Want = body.String()
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -142,13 +142,13 @@
 			made.evidence.outcomes = append(made.evidence.outcomes, later)
 		}, want: []Promise{PromiseForward}},
 		"sent to a server that had said that it leaves": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
+			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
 		}, want: []Promise{PromiseSaid}},
 		"a moment after it had said so": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 2500*time.Millisecond, platformserver.Arrival{Leaving: true})
+			made.evidence.sendAgain(made.outcome, 2500*time.Millisecond, platformserver.Arrival{Draining: true})
 		}},
 		"after the VM stood still": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
+			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
 			made.evidence.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
 		"sent to a server whose entry is bad": {route: routeStream, change: func(made made) {
@@ -176,17 +176,17 @@
 			made.evidence.log.add(span{from: at(-4 * time.Second), to: at(-2 * time.Second), kind: KindStoreBusy})
 		}},
 		"two sent in a rest": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+			made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
 			made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{})
 		}},
 		"three sent in a rest": {route: routeStream, change: func(made made) {
 			for range restSends + 1 {
-				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
 			}
 		}, want: []Promise{PromiseRest}},
 		"three sent while the way there was cut": {route: routeStream, change: func(made made) {
 			for range restSends + 1 {
-				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
 			}
 			made.evidence.log.add(span{from: at(time.Second), to: at(2 * time.Second), kind: KindLinkOneWay})
 		}},
@@ -268,11 +268,11 @@
 // many more a second later, when it takes none.
 func (evidence *evidence) sendLimited(outcome *Outcome, count int, before float64) {
 	evidence.arrivals = append(evidence.arrivals, platformserver.Arrival{
-		ID: outcome.ID, Instance: outcome.Seal, At: at(1100 * time.Millisecond), Limited: true,
+		ID: outcome.ID, Instance: outcome.Seal, At: at(1100 * time.Millisecond), RateLimited: true,
 	})
-	sends := []platformserver.Arrival{{At: at(5 * time.Second), Limited: true, Limit: before}}
+	sends := []platformserver.Arrival{{At: at(5 * time.Second), RateLimited: true, RateLimit: before}}
 	for range count {
-		sends = append(sends, platformserver.Arrival{At: at(6 * time.Second), Limited: true})
+		sends = append(sends, platformserver.Arrival{At: at(6 * time.Second), RateLimited: true})
 	}
 	for number, send := range sends {
 		again := *outcome
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -157,8 +157,8 @@
 		return
 	}
 	world.store.SetFault(map[Kind]metastore.Fault{
-		KindStoreBusy: metastore.FaultBusy, KindStoreSilent: metastore.FaultSilent,
-		KindStoreReset: metastore.FaultReset, KindStoreLost: metastore.FaultLost,
+		KindStoreBusy: metastore.FaultBusy, KindStoreSilent: metastore.FaultNoResponse,
+		KindStoreReset: metastore.FaultReset, KindStoreLost: metastore.FaultLostResponse,
 	}[event.Kind])
 	wait.For(ctx, event.For)
 	world.store.SetFault(metastore.FaultNone)
@@ -192,7 +192,7 @@
 	world.operator.drop(identity)
 	// Until the run ends the address is reused, as a server's may be.
 	if err := world.startBackend(ctx, backend, backend.newName()); err != nil {
-		world.record.Violate(err.Error())
+		world.record.AddViolation(err.Error())
 	}
 }
 
@@ -223,11 +223,11 @@
 
 // playOlder lets the store come back from a copy as old as the fault is long.
 func (world *world) playOlder(ctx context.Context, event Event) {
-	older := world.store.Copy()
+	older := world.store.Snapshot()
 	wait.For(ctx, event.For)
 	world.store.SetFault(metastore.FaultBusy)
 	wait.For(ctx, olderAway)
-	world.store.Return(older)
+	world.store.Restore(older)
 	world.store.SetFault(metastore.FaultNone)
 	wait.For(ctx, olderAgain)
 	world.operator.rewrite()
@@ -244,7 +244,7 @@
 func (backend *backend) nameLimits(ctx context.Context, event Event) {
 	for half := range 2 {
 		limit := limitLeast + limitStep*float64((event.Target>>(4*half))%limitSteps)
-		backend.setFaults(platformserver.Faults{Limited: true, Limit: limit})
+		backend.setFaults(platformserver.Faults{RateLimited: true, RateLimit: limit})
 		wait.For(ctx, event.For/2)
 	}
 	backend.setFaults(platformserver.Faults{})
@@ -275,9 +275,9 @@
 		return
 	}
 	backend.setFaults(map[Kind]platformserver.Faults{
-		KindServerErrors: {Errors: faultPart}, KindServerRefuse: {Refused: faultPart}, KindServerLost: {Lost: faultPart},
-		KindServerCut: {Cut: faultPart}, KindServerExtra: {Extra: faultPart}, KindServerHang: {Hang: true},
-		KindServerSlow: {Slow: 4}, KindServerRest: {Refused: faultPart, Rest: restAsked},
+		KindServerErrors: {Errors: faultPart}, KindServerRefuse: {Refused: faultPart}, KindServerLost: {LostResponses: faultPart},
+		KindServerCut: {Truncated: faultPart}, KindServerExtra: {ExtraResponses: faultPart}, KindServerHang: {Hang: true},
+		KindServerSlow: {Slowdown: 4}, KindServerRest: {Refused: faultPart, Backoff: restAsked},
 	}[event.Kind])
 	wait.For(ctx, event.For)
 	backend.setFaults(platformserver.Faults{})
--- a/internal/soak/harmful.go
+++ b/internal/soak/harmful.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if err := world.startBackend(ctx, backend, backend.identity().Instance); err != nil {
-		world.record.Violate(err.Error())
+		world.record.AddViolation(err.Error())
 	}
 	world.log.add(span{from: from, to: time.Now(), kind: KindRequestCrash})
 }
--- a/internal/soak/limit.go
+++ b/internal/soak/limit.go
@@ -46,11 +46,11 @@
 	var spans [][]counted
 	from := 0
 	for at := range all {
-		if !all[at].Limited {
+		if !all[at].RateLimited {
 			from = at + 1
 			continue
 		}
-		if at+1 == len(all) || !all[at+1].Limited {
+		if at+1 == len(all) || !all[at+1].RateLimited {
 			spans = append(spans, all[from:at+1])
 		}
 	}
@@ -96,7 +96,7 @@
 		if one.At.Before(from.Add(-limitNotice)) || !one.At.Before(to) {
 			continue
 		}
-		greatest = max(greatest, one.Limit)
+		greatest = max(greatest, one.RateLimit)
 		toldAt, known := told[one.vm]
 		isTold := known && one.At.After(toldAt.Add(toldNotice))
 		if isTold && !one.At.Before(from) && !evidence.paused(one.vm, from.Add(-limitNotice), to) {
--- a/internal/soak/notice.go
+++ b/internal/soak/notice.go
@@ -55,7 +55,7 @@
 	for pair, all := range pairs {
 		for _, first := range all {
 			passedOn := first.outcome.answered() && first.outcome.Seal == pair.instance
-			if !first.Leaving || !passedOn {
+			if !first.Draining || !passedOn {
 				continue
 			}
 			told := first.outcome.Ended
@@ -74,7 +74,7 @@
 func (evidence *evidence) checkRests(pairs map[pair][]arrived, add addFunc) {
 	for pair, all := range pairs {
 		for _, turnedAway := range all {
-			from, to := turnedAway.At.Add(restNotice), turnedAway.At.Add(turnedAway.Rest)
+			from, to := turnedAway.At.Add(restNotice), turnedAway.At.Add(turnedAway.Backoff)
 			sends := 0
 			for _, later := range all {
 				if later.At.After(from) && later.At.Before(to) {
@@ -82,7 +82,7 @@
 				}
 			}
 			if sends > restSends && !evidence.paused(pair.vm, turnedAway.At, to) && !evidence.linkStruck(turnedAway.At, to) {
-				add(PromiseRest, "%d requests reached %s from %s in a rest of %s", sends, pair.instance, pair.vm, turnedAway.Rest)
+				add(PromiseRest, "%d requests reached %s from %s in a rest of %s", sends, pair.instance, pair.vm, turnedAway.Backoff)
 			}
 		}
 	}
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -102,15 +102,15 @@
 	for _, name := range operator.extra {
 		routes = append(routes, route(name, "safe", servicePlain, false))
 	}
-	model := platformserver.UsersModel()
+	model := platformserver.ProductionModel()
 	value, err := json.Marshal(map[string]any{
 		"version": operator.version, "routes": routes,
 		"services": []any{
 			named(servicePlain, nil),
 			named(serviceEngines, map[string]any{"engine": map[string]any{
-				"slots": model.Slots, "kv_tokens": model.Memory, "stride": model.Stride,
-				"step_ms": model.Step.Seconds() * 1000, "read_per_s": model.ReadPerSecond,
-				"pairs_per_m": model.PairsPerMillion.Seconds() * 1000,
+				"slots": model.Slots, "kv_tokens": model.MemoryTokens, "stride": model.StepsPerPass,
+				"step_ms": model.StepTime.Seconds() * 1000, "read_per_s": model.PrefillTokensPerSecond,
+				"pairs_per_m": model.TimePerMillionPairs.Seconds() * 1000,
 			}}),
 		},
 		"limits": map[string]any{
@@ -211,14 +211,14 @@
 	if leaving {
 		state = "draining"
 	}
-	slots := platformserver.UsersModel().Slots
+	slots := platformserver.ProductionModel().Slots
 	if identity.Service == servicePlain {
 		slots = plainSlots
 	}
 	dataCentre := operator.centre(identity)
 	value, err := json.Marshal(map[string]any{
 		"service": identity.Service, "address": identity.Address, "zone": dataCentre, "slots": slots, "state": state,
-		"version": "v1", "cold_left_ms": 0, "call_seq": 0, "born": identity.Born.UnixMilli(),
+		"version": "v1", "cold_left_ms": 0, "call_seq": 0, "born": identity.StartedAt.UnixMilli(),
 	})
 	if err != nil {
 		panic(err) // names and numbers only
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -119,7 +119,7 @@
 		if backend.engine == nil {
 			continue
 		}
-		if count, idle := backend.engine.Tickets(); count > 0 {
+		if count, idle := backend.engine.Reservations(); count > 0 {
 			what := fmt.Sprintf("%d tickets at %s, unused for %s", count, backend.address, idle)
 			violations = append(violations, Violation{Promise: PromiseMemory, What: what})
 		}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -87,7 +87,7 @@
 	http.Handler
 	Identity() platformserver.Identity
 	SetFaults(faults platformserver.Faults)
-	SayLeaving()
+	AdvertiseDraining()
 	SetCrash(crash platformserver.Crash)
 }
 
@@ -196,16 +196,16 @@
 	defer backend.mu.Unlock()
 	backend.life++
 	identity := platformserver.Identity{
-		Instance: name, Service: backend.service, Address: backend.address, Born: time.Now(),
+		Instance: name, Service: backend.service, Address: backend.address, StartedAt: time.Now(),
 	}
 	seed := world.settings.Seed + uint64(backend.life) //nolint:gosec // a small count
 	if backend.service == serviceEngines {
-		backend.engine = platformserver.NewEngine(ctx, identity, platformserver.UsersModel(), world.fleet, world.record, seed)
+		backend.engine = platformserver.NewEngine(ctx, identity, platformserver.ProductionModel(), world.fleet, world.record, seed)
 		backend.standIn = backend.engine
 	} else {
 		backend.standIn = platformserver.NewPlain(identity, plainSlots, plainWork, world.record, seed)
 	}
-	backend.standIn.SetCrash(platformserver.Crash{Body: harmfulBody, End: func() { go world.crash(ctx, backend) }})
+	backend.standIn.SetCrash(platformserver.Crash{Body: harmfulBody, StopServer: func() { go world.crash(ctx, backend) }})
 	listener, err := net.Listen("tcp4", backend.own) //nolint:noctx // closed by stop
 	if err != nil {
 		return errors.Wrap(err, "server")
@@ -243,7 +243,7 @@
 func (backend *backend) sayLeaving() {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
-	backend.standIn.SayLeaving()
+	backend.standIn.AdvertiseDraining()
 }
 
 // addVM writes the settings of a VM and starts it.
--- a/internal/standin/engine/calls.go
+++ b/internal/standin/engine/calls.go
@@ -15,7 +15,7 @@
 
 // maintenanceInterval is the interval at which an engine expires streams and
 // reservations and creates a load report, even while it is idle.
-const housekeeping = 50 * time.Millisecond
+const maintenanceInterval = 50 * time.Millisecond
 
 // RefusalError reports that a request or command was refused and nothing ran.
 type RefusalError struct {
@@ -79,7 +79,7 @@
 	switch {
 	case engine.closed:
 		return &RefusalError{Reason: reasonDied}
-	case engine.leaving:
+	case engine.draining:
 		return &RefusalError{Reason: "leaving", Leaving: true}
 	case !slices.Contains(engine.models, submission.Model):
 		return &RefusalError{Reason: fmt.Sprintf("model %q is not loaded", submission.Model)}
@@ -150,12 +150,12 @@
 	switch {
 	case engine.closed:
 		return &RefusalError{Reason: reasonDied}
-	case engine.leaving:
+	case engine.draining:
 		return &RefusalError{Reason: "leaving", Leaving: true}
 	case engine.reservations[id] != nil:
 		engine.reservations[id].expires = time.Now().Add(ttl)
 		return nil
-	case engine.free() < tokens:
+	case engine.freeTokens() < tokens:
 		return &RefusalError{Reason: "no memory"}
 	}
 	engine.reservations[id] = &reservation{tokens: tokens, expires: time.Now().Add(ttl)}
@@ -289,7 +289,7 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	stream.readers--
-	stream.detached = time.Now()
+	stream.detachedAt = time.Now()
 }
 
 // Load returns the latest load report that is older than LoadLag.
@@ -307,7 +307,7 @@
 }
 
 // CurrentLoad returns the current load, without the lag of load reports.
-func (engine *Engine) Truth() backend.Load {
+func (engine *Engine) CurrentLoad() backend.Load {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.load()
@@ -315,7 +315,7 @@
 
 // load is CurrentLoad for callers that hold the mutex.
 func (engine *Engine) load() backend.Load {
-	load := backend.Load{FreeTokens: engine.free(), Leaving: engine.leaving}
+	load := backend.Load{FreeTokens: engine.freeTokens(), Leaving: engine.draining}
 	for _, stream := range engine.streams {
 		if !stream.live() {
 			continue
@@ -325,7 +325,7 @@
 		} else {
 			load.Waiting++
 		}
-		remaining := max(0, stream.total-stream.computed) / stream.width()
+		remaining := max(0, stream.total-stream.computed) / stream.groupSize()
 		load.QueuedPrefillTokens += remaining
 		if stream.Priority < backend.PriorityShort {
 			load.QueuedLongTokens += remaining
@@ -336,8 +336,8 @@
 
 // RunMaintenance periodically expires streams and reservations and creates load
 // reports until ctx is done.
-func (engine *Engine) Housekeep(ctx context.Context) {
-	ticker := time.NewTicker(housekeeping)
+func (engine *Engine) RunMaintenance(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/standin/engine/command.go
+++ b/internal/standin/engine/command.go
@@ -7,18 +7,18 @@
 )
 
 // CommandKind is the kind of a command.
-type OrderKind string
+type CommandKind string
 
 // Kinds of commands: load or unload a model, or set the engine's role.
 const (
-	OrderLoad   OrderKind = "load"
-	OrderUnload OrderKind = "unload"
-	OrderRole   OrderKind = "role"
+	CommandLoad   CommandKind = "load"
+	CommandUnload CommandKind = "unload"
+	CommandRole   CommandKind = "role"
 )
 
 // Command changes what an engine serves.
-type Order struct {
-	Kind OrderKind `json:"kind"`
+type Command struct {
+	Kind CommandKind `json:"kind"`
 	// Token is a fencing token. Engines that check it refuse a command whose
 	// token is lower than that of an earlier command.
 	Token uint64 `json:"token"`
@@ -30,22 +30,22 @@
 
 // Apply executes a command, or returns a *RefusalError. A model to load is served
 // once its weights have been fetched, after Apply has returned.
-func (engine *Engine) Take(command Order) error {
+func (engine *Engine) Apply(command Command) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	switch {
 	case engine.closed:
 		return &RefusalError{Reason: reasonDied}
-	case engine.checksFencing && command.Token < engine.orderToken:
-		return &RefusalError{Reason: fmt.Sprintf("token %d is older than %d", command.Token, engine.orderToken)}
+	case engine.checksFencing && command.Token < engine.commandToken:
+		return &RefusalError{Reason: fmt.Sprintf("token %d is older than %d", command.Token, engine.commandToken)}
 	}
-	engine.orderToken = max(engine.orderToken, command.Token)
+	engine.commandToken = max(engine.commandToken, command.Token)
 	switch command.Kind {
-	case OrderLoad:
+	case CommandLoad:
 		go engine.loadModel(command)
-	case OrderUnload:
+	case CommandUnload:
 		engine.models = slices.DeleteFunc(engine.models, func(model string) bool { return model == command.Model })
-	case OrderRole:
+	case CommandRole:
 		engine.role = command.Role
 	default:
 		return &RefusalError{Reason: fmt.Sprintf("no order of kind %q", command.Kind)}
@@ -55,11 +55,11 @@
 
 // loadModel fetches a model's weights and then serves the model, unless a newer
 // command has been applied meanwhile.
-func (engine *Engine) loadModel(command Order) {
+func (engine *Engine) loadModel(command Command) {
 	err := engine.fetch(context.Background(), command.Model)
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	superseded := engine.checksFencing && command.Token < engine.orderToken
+	superseded := engine.checksFencing && command.Token < engine.commandToken
 	if err != nil || superseded || engine.closed || slices.Contains(engine.models, command.Model) {
 		return
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -38,9 +38,9 @@
 	// peer returns the running engine with the given ID, or nil.
 	peer func(id string) *Engine
 
-	mu      sync.Mutex
-	faults  Faults
-	leaving bool
+	mu       sync.Mutex
+	faults   Faults
+	draining bool
 	// wake is signalled when there may be work for Run.
 	wake     *sync.Cond
 	closed   bool
@@ -56,13 +56,13 @@
 	cache *simplelru.LRU[uint64, struct{}]
 	// groupTime is time for streams of other engines' groups, to be added to the
 	// next step.
-	borrowed time.Duration
+	groupTime time.Duration
 	// fences has the highest fencing token seen for each organisation and key.
 	fences map[string]uint64
 	// reports has the load reports, oldest first.
 	reports []report
 	// commandToken is the highest fencing token of a command seen.
-	orderToken uint64
+	commandToken uint64
 	// fetch downloads the weights of a model.
 	fetch  func(ctx context.Context, model string) error
 	role   string
@@ -149,10 +149,10 @@
 
 // Drain makes the engine refuse new streams and reservations; existing streams
 // continue.
-func (engine *Engine) Leave() {
+func (engine *Engine) Drain() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.leaving = true
+	engine.draining = true
 }
 
 // end ends a live stream and frees its memory at all engines of its group.
@@ -175,7 +175,7 @@
 }
 
 // freeTokens returns the KV memory available to streams and reservations, in tokens.
-func (engine *Engine) free() int {
+func (engine *Engine) freeTokens() int {
 	return engine.settings.MemoryTokens - engine.used
 }
 
@@ -188,7 +188,7 @@
 // fitCache evicts the least recently used blocks until the cache fits into free
 // memory.
 func (engine *Engine) fitCache() {
-	for engine.cache.Len()*engine.settings.BlockTokens > engine.free() {
+	for engine.cache.Len()*engine.settings.BlockTokens > engine.freeTokens() {
 		engine.cache.RemoveOldest()
 	}
 }
@@ -207,12 +207,12 @@
 }
 
 // cachePrompt adds the blocks of a stream's prompt to the prefix cache.
-func (engine *Engine) remember(stream *stream) {
-	engine.store(stream.blocks)
+func (engine *Engine) cachePrompt(stream *stream) {
+	engine.addToCache(stream.blocks)
 }
 
 // addToCache adds blocks to the prefix cache as far as they fit into free memory.
-func (engine *Engine) store(blocks []uint64) {
+func (engine *Engine) addToCache(blocks []uint64) {
 	for _, hash := range blocks {
 		if !engine.cache.Contains(hash) {
 			engine.events.add(eventStored, hash, time.Now())
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -43,7 +43,7 @@
 		})
 		fleet.engines[id] = created
 		fleet.running.Go(created.Run)
-		fleet.running.Go(func() { created.Housekeep(ctx) })
+		fleet.running.Go(func() { created.RunMaintenance(ctx) })
 	}
 	return fleet
 }
@@ -128,7 +128,7 @@
 		assert.Equal(t, end, backend.EndCompleted)
 		assert.Assert(t, time.Since(started) < 5*time.Second)
 		for _, engine := range fleet.engines {
-			assert.Equal(t, engine.Truth().FreeTokens, settings.MemoryTokens)
+			assert.Equal(t, engine.CurrentLoad().FreeTokens, settings.MemoryTokens)
 		}
 	})
 }
@@ -169,7 +169,7 @@
 				defer fleet.close()
 				useMemory(t, fleet)
 				time.Sleep(settings.DetachGrace + time.Second)
-				assert.Equal(t, fleet.engines["e1"].Truth().FreeTokens, settings.MemoryTokens)
+				assert.Equal(t, fleet.engines["e1"].CurrentLoad().FreeTokens, settings.MemoryTokens)
 			})
 		})
 	}
@@ -220,19 +220,19 @@
 }
 
 func TestCommands(t *testing.T) {
-	loadCommand := engine.Order{Kind: engine.OrderLoad, Token: 5, Model: "audit"}
+	loadCommand := engine.Command{Kind: engine.CommandLoad, Token: 5, Model: "audit"}
 	cases := map[string]struct {
 		checksFencing bool
-		commands      []engine.Order
+		commands      []engine.Command
 		// want is the error of the last command, or empty.
 		want   string
 		served bool
 	}{
-		"a model is served after it is loaded":                  {checksFencing: true, commands: []engine.Order{loadCommand}, served: true},
-		"a newer command supersedes a load":                     {checksFencing: true, commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 6}}},
-		"an older command is refused if tokens are checked":     {checksFencing: true, commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 4}}, want: "token 4 is older than 5", served: true},
-		"an older command is accepted if tokens aren't checked": {commands: []engine.Order{loadCommand, {Kind: engine.OrderRole, Token: 4}}, served: true},
-		"a command without a kind is refused":                   {checksFencing: true, commands: []engine.Order{{Token: 1}}, want: `no order of kind ""`},
+		"a model is served after it is loaded":                  {checksFencing: true, commands: []engine.Command{loadCommand}, served: true},
+		"a newer command supersedes a load":                     {checksFencing: true, commands: []engine.Command{loadCommand, {Kind: engine.CommandRole, Token: 6}}},
+		"an older command is refused if tokens are checked":     {checksFencing: true, commands: []engine.Command{loadCommand, {Kind: engine.CommandRole, Token: 4}}, want: "token 4 is older than 5", served: true},
+		"an older command is accepted if tokens aren't checked": {commands: []engine.Command{loadCommand, {Kind: engine.CommandRole, Token: 4}}, served: true},
+		"a command without a kind is refused":                   {checksFencing: true, commands: []engine.Command{{Token: 1}}, want: `no order of kind ""`},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 					})
 				var err error
 				for _, command := range test.commands {
-					err = target.Take(command)
+					err = target.Apply(command)
 				}
 				if test.want == "" {
 					assert.NilError(t, err)
@@ -299,7 +299,7 @@
 		time.Sleep(5 * time.Second)
 		info, _ := target.Info("a1")
 		assert.Equal(t, info.Tokens, 0)
-		assert.Assert(t, target.Truth().FreeTokens < settings.MemoryTokens)
+		assert.Assert(t, target.CurrentLoad().FreeTokens < settings.MemoryTokens)
 		assert.Assert(t, target.Pause("a1", false))
 		_, end := read(target, "a1", 0)
 		assert.Equal(t, end, backend.EndCompleted)
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -30,7 +30,7 @@
 	router.HandleFunc("/v1/streams/{attempt}/kv", engine.handleExport).Methods(http.MethodGet)
 	router.HandleFunc("/v1/kv", engine.handleImport).Methods(http.MethodPut)
 	router.HandleFunc("/v1/cache/events", engine.handleCacheEvents).Methods(http.MethodGet)
-	router.HandleFunc("/v1/orders", engine.handleOrder).Methods(http.MethodPost)
+	router.HandleFunc("/v1/orders", engine.handleCommand).Methods(http.MethodPost)
 	router.HandleFunc("/v1/load", engine.handleLoad).Methods(http.MethodGet)
 	return router
 }
@@ -60,11 +60,11 @@
 		Model:        header.Get(backend.HeaderModel),
 		Group:        header.Get(backend.HeaderGroup),
 		Prompt:       prompt,
-		Priority:     int(number(header, backend.HeaderPriority)),
-		From:         int(number(header, backend.HeaderFrom)),
-		MaxTokens:    int(number(header, backend.HeaderMaxTokens)),
-		TimeLeft:     time.Duration(number(header, backend.HeaderTimeLeft)) * time.Millisecond,
-		Fence:        uint64(number(header, backend.HeaderFence)), //nolint:gosec // fencing tokens aren't negative
+		Priority:     int(parseNumber(header, backend.HeaderPriority)),
+		From:         int(parseNumber(header, backend.HeaderFrom)),
+		MaxTokens:    int(parseNumber(header, backend.HeaderMaxTokens)),
+		TimeLeft:     time.Duration(parseNumber(header, backend.HeaderTimeLeft)) * time.Millisecond,
+		Fence:        uint64(parseNumber(header, backend.HeaderFence)), //nolint:gosec // fencing tokens aren't negative
 	}
 }
 
@@ -172,14 +172,14 @@
 	writeJSON(w, http.StatusOK, engine.CacheEvents(from))
 }
 
-func (engine *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	var command Order
+func (engine *Engine) handleCommand(w http.ResponseWriter, r *http.Request) {
+	var command Command
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPromptBytes)).Decode(&command)
 	if err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	err = engine.Take(command)
+	err = engine.Apply(command)
 	if err != nil {
 		refuse(w, err)
 	}
@@ -201,8 +201,8 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// number parses a number in a header. It returns zero if the value is invalid.
-func number(header http.Header, name string) int64 {
+// parseNumber parses a number in a header. It returns zero if the value is invalid.
+func parseNumber(header http.Header, name string) int64 {
 	value, _ := strconv.ParseInt(header.Get(name), 10, 64)
 	return value
 }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -89,7 +89,7 @@
 	}
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.store(kv.Blocks)
+	engine.addToCache(kv.Blocks)
 	return true
 }
 
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -35,14 +35,14 @@
 		running := engine.schedule()
 		if slices.ContainsFunc(running, func(stream *stream) bool { return !stream.paused }) {
 			plan := engine.plan(running)
-			plan.cost += engine.borrowed
-			engine.borrowed = 0
+			plan.cost += engine.groupTime
+			engine.groupTime = 0
 			if engine.faults.Slowdown > 1 {
 				plan.cost = time.Duration(float64(plan.cost) * engine.faults.Slowdown)
 			}
 			return plan, true
 		}
-		engine.borrowed = 0
+		engine.groupTime = 0
 		engine.wake.Wait()
 	}
 }
@@ -54,12 +54,12 @@
 	for attempt, stream := range engine.streams {
 		switch {
 		case !stream.live():
-			if now.Sub(stream.ended) > engine.settings.KeepEnded {
+			if now.Sub(stream.endedAt) > engine.settings.KeepEnded {
 				delete(engine.streams, attempt)
 			}
 		case now.After(stream.deadline):
 			engine.end(stream, backend.EndDeadline, "time is over")
-		case stream.readers == 0 && now.Sub(stream.detached) > engine.settings.DetachGrace:
+		case stream.readers == 0 && now.Sub(stream.detachedAt) > engine.settings.DetachGrace:
 			engine.end(stream, backend.EndCancelled, "nobody read it")
 		}
 	}
@@ -87,19 +87,19 @@
 	// none would be freed.
 	blocked := false
 	for _, stream := range byPriority {
-		if !engine.holds(stream) && !blocked {
+		if !engine.hasMemory(stream) && !blocked {
 			blocked = !engine.admit(stream, byPriority)
 		}
 	}
-	return slices.DeleteFunc(byPriority, func(stream *stream) bool { return !engine.holds(stream) })
+	return slices.DeleteFunc(byPriority, func(stream *stream) bool { return !engine.hasMemory(stream) })
 }
 
 // admit allocates memory to a stream. If there isn't enough, it preempts streams of
 // lower priority, which are queued again and recompute their prefill. It returns
 // false if there still isn't enough. byPriority has all live streams, highest priority first.
 func (engine *Engine) admit(stream *stream, byPriority []*stream) bool {
-	requiredTokens := engine.roundUp(stream.need())
-	for i := len(byPriority) - 1; i >= 0 && engine.free() < requiredTokens; i-- {
+	requiredTokens := engine.roundUp(stream.requiredTokens())
+	for i := len(byPriority) - 1; i >= 0 && engine.freeTokens() < requiredTokens; i-- {
 		victim := byPriority[i]
 		if victim.Priority >= stream.Priority {
 			return false
@@ -111,7 +111,7 @@
 			victim.total = PromptTokens(victim.Prompt) + victim.From + len(victim.tokens)
 		}
 	}
-	if engine.free() < requiredTokens {
+	if engine.freeTokens() < requiredTokens {
 		return false
 	}
 	stream.reserved = requiredTokens
@@ -135,7 +135,7 @@
 			plan.decode = append(plan.decode, stream)
 			budget--
 			context := stream.total + len(stream.tokens)
-			plan.cost += settings.DecodeToken + nanoseconds(float64(context)*settings.DecodeContextNS/float64(stream.width()))
+			plan.cost += settings.DecodeToken + nanoseconds(float64(context)*settings.DecodeContextNS/float64(stream.groupSize()))
 		}
 	}
 	for _, stream := range running {
@@ -143,8 +143,8 @@
 			continue
 		}
 		// The engines of a group each compute an equal share of the chunk.
-		tokens := min(budget*stream.width(), stream.total-stream.computed)
-		share := (tokens + stream.width() - 1) / stream.width()
+		tokens := min(budget*stream.groupSize(), stream.total-stream.computed)
+		share := (tokens + stream.groupSize() - 1) / stream.groupSize()
 		budget -= share
 		cost := time.Duration(share)*settings.PrefillToken +
 			nanoseconds(float64(share)*float64(stream.computed)*settings.PrefillPairNS)
@@ -160,16 +160,16 @@
 func (engine *Engine) charge(stream *stream, cost time.Duration) {
 	for _, member := range stream.members {
 		if member != engine {
-			go member.borrow(cost)
+			go member.addGroupTime(cost)
 		}
 	}
 }
 
 // addGroupTime adds time spent on a group of another engine to the next step.
-func (engine *Engine) borrow(cost time.Duration) {
+func (engine *Engine) addGroupTime(cost time.Duration) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.borrowed += cost
+	engine.groupTime += cost
 }
 
 // commit applies the results of a step to the streams that still have memory.
@@ -178,24 +178,24 @@
 	defer engine.mu.Unlock()
 	for _, chunk := range plan.prefill {
 		stream := chunk.stream
-		if !engine.holds(stream) {
+		if !engine.hasMemory(stream) {
 			continue
 		}
 		stream.computed += chunk.tokens
 		if stream.decoding() {
-			engine.remember(stream)
+			engine.cachePrompt(stream)
 			engine.generate(stream)
 		}
 	}
 	for _, stream := range plan.decode {
-		if engine.holds(stream) {
+		if engine.hasMemory(stream) {
 			engine.generate(stream)
 		}
 	}
 }
 
 // hasMemory reports whether a stream is live and has memory allocated.
-func (engine *Engine) holds(stream *stream) bool {
+func (engine *Engine) hasMemory(stream *stream) bool {
 	return stream.live() && (stream.reserved > 0 || stream.Group != "")
 }
 
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -53,14 +53,14 @@
 	// queued or if its memory belongs to a reservation.
 	reserved int
 	// tokens are the generated tokens, starting with number From.
-	tokens []string
-	end    backend.End
-	reason string
-	ended  time.Time
+	tokens  []string
+	end     backend.End
+	reason  string
+	endedAt time.Time
 	// readers is the number of current readers. detached is the time since which
 	// it is zero.
-	readers  int
-	detached time.Time
+	readers    int
+	detachedAt time.Time
 	// changed is closed and replaced when tokens or end change.
 	changed chan struct{}
 	// members are the engines of the group, or nil without a group.
@@ -76,18 +76,18 @@
 		deadline:   now.Add(submission.TimeLeft),
 		sequence:   sequence,
 		total:      total,
-		detached:   now,
+		detachedAt: now,
 		changed:    make(chan struct{}),
 	}
 }
 
 // groupSize returns the number of engines that compute the stream.
-func (stream *stream) width() int {
+func (stream *stream) groupSize() int {
 	return max(1, len(stream.members))
 }
 
 // requiredTokens returns the KV memory for the whole stream, in tokens.
-func (stream *stream) need() int {
+func (stream *stream) requiredTokens() int {
 	return stream.total + stream.MaxTokens - stream.From
 }
 
@@ -115,7 +115,7 @@
 	}
 	stream.end = end
 	stream.reason = reason
-	stream.ended = now
+	stream.endedAt = now
 	stream.Prompt = nil
 	stream.signal()
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -21,6 +21,6 @@
 	Kill []string `json:"kill,omitempty"`
 	// Start has the IDs of killed backend servers to start again, without state.
 	Start []string `json:"start,omitempty"`
-	// Leave has the IDs of backend servers to drain.
-	Leave []string `json:"leave,omitempty"`
+	// Drain has the IDs of backend servers to drain.
+	Drain []string `json:"leave,omitempty"`
 }
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -44,7 +44,7 @@
 	Outage bool `json:"outage"`
 	// LostResponses is the fraction (0 to 1) of appends that take effect but
 	// return an error.
-	LostAnswers float64 `json:"lost_answers"`
+	LostResponses float64 `json:"lost_answers"`
 	// LateAppends is the fraction (0 to 1) of appends that return an error
 	// immediately and take effect after LateByMS milliseconds.
 	LateAppends float64 `json:"late_appends"`
@@ -68,7 +68,7 @@
 	entries []entry
 	first   uint64
 	// entryAdded is closed and replaced when an entry is added.
-	grown chan struct{}
+	entryAdded chan struct{}
 }
 
 // entry is the data of one append.
@@ -122,7 +122,7 @@
 		return false
 	}
 	logservice.addLocked(name, data)
-	return rand.Float64() >= faults.LostAnswers //nolint:gosec // not security-relevant
+	return rand.Float64() >= faults.LostResponses //nolint:gosec // not security-relevant
 }
 
 // Read returns a page of entries from the given offset. If there are none yet,
@@ -161,7 +161,7 @@
 		data := stream.entries[offset-stream.first].data
 		page.Entries = append(page.Entries, infra.Entry{Offset: offset, Data: data})
 	}
-	return page, stream.grown, true
+	return page, stream.entryAdded, true
 }
 
 func (logservice *LogService) add(name string, data []byte) {
@@ -173,14 +173,14 @@
 func (logservice *LogService) addLocked(name string, data []byte) {
 	stream := logservice.stream(name)
 	stream.entries = append(stream.entries, entry{data: data, appended: time.Now()})
-	close(stream.grown)
-	stream.grown = make(chan struct{})
+	close(stream.entryAdded)
+	stream.entryAdded = make(chan struct{})
 }
 
 func (logservice *LogService) stream(name string) *stream {
 	found, ok := logservice.streams[name]
 	if !ok {
-		found = &stream{grown: make(chan struct{})}
+		found = &stream{entryAdded: make(chan struct{})}
 		logservice.streams[name] = found
 	}
 	return found
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -25,12 +25,12 @@
 	FaultBusy Fault = "busy"
 	// FaultNoResponse accepts calls and doesn't respond until the fault changes,
 	// then closes the connection.
-	FaultSilent Fault = "silent"
+	FaultNoResponse Fault = "silent"
 	// FaultReset closes the connection without executing the call.
 	FaultReset Fault = "reset"
 	// FaultLostResponse executes appends but closes the connection without a
 	// response. Reads succeed.
-	FaultLost Fault = "lost"
+	FaultLostResponse Fault = "lost"
 )
 
 // Limits of the store, and sizes of its binary encoding of records.
@@ -76,14 +76,14 @@
 	// rolled back.
 	changed chan struct{}
 	// faultChanged is closed and replaced when the fault is set.
-	healed chan struct{}
+	faultChanged chan struct{}
 }
 
 var _ http.Handler = (*Store)(nil)
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{topics: make(map[string]*topic), changed: make(chan struct{}), healed: make(chan struct{})}
+	return &Store{topics: make(map[string]*topic), changed: make(chan struct{}), faultChanged: make(chan struct{})}
 }
 
 // SetFault replaces the failure mode for subsequent calls.
@@ -91,8 +91,8 @@
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.fault = fault
-	close(store.healed)
-	store.healed = make(chan struct{})
+	close(store.faultChanged)
+	store.faultChanged = make(chan struct{})
 }
 
 // Calls returns the number of HTTP calls received, including failed ones.
@@ -165,16 +165,16 @@
 	}
 	store.mu.Lock()
 	store.calls++
-	fault, faultChanged := store.fault, store.healed
+	fault, faultChanged := store.fault, store.faultChanged
 	store.mu.Unlock()
-	writer = &dated{ResponseWriter: writer, store: store}
+	writer = &eraWriter{ResponseWriter: writer, store: store}
 	switch fault {
 	case FaultBusy:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case FaultReset:
 		panic(http.ErrAbortHandler)
-	case FaultSilent:
+	case FaultNoResponse:
 		select {
 		case <-faultChanged:
 		case <-request.Context().Done():
@@ -276,7 +276,7 @@
 	}
 	end := store.topic(name).end()
 	store.mu.Unlock()
-	if fault == FaultLost {
+	if fault == FaultLostResponse {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, http.StatusOK, map[string]int64{"offset": offset, "end": end})
--- a/internal/standin/metastore/snapshot.go
+++ b/internal/standin/metastore/snapshot.go
@@ -11,20 +11,20 @@
 const headerEra = "Store-Era"
 
 // Snapshot is a copy of the store's contents at one point in time.
-type Copy struct {
+type Snapshot struct {
 	topics map[string]*topic
 }
 
 // Snapshot returns a copy of the store's current contents.
-func (store *Store) Copy() Copy {
+func (store *Store) Snapshot() Snapshot {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	return Copy{topics: cloneTopics(store.topics)}
+	return Snapshot{topics: cloneTopics(store.topics)}
 }
 
 // Restore rolls the store back to a snapshot: later writes are lost, their offsets are assigned again, and the era
 // is incremented.
-func (store *Store) Return(snapshot Copy) {
+func (store *Store) Restore(snapshot Snapshot) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.topics = cloneTopics(snapshot.topics)
@@ -45,7 +45,7 @@
 }
 
 // eraWriter adds the store's era to the response header, as of the time when the response is written.
-type dated struct {
+type eraWriter struct {
 	http.ResponseWriter
 
 	store   *Store
@@ -53,18 +53,18 @@
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (eraWriter *dated) WriteHeader(status int) {
-	eraWriter.date()
+func (eraWriter *eraWriter) WriteHeader(status int) {
+	eraWriter.setEra()
 	eraWriter.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (eraWriter *dated) Write(data []byte) (int, error) {
-	eraWriter.date()
+func (eraWriter *eraWriter) Write(data []byte) (int, error) {
+	eraWriter.setEra()
 	return eraWriter.ResponseWriter.Write(data) //nolint:wrapcheck // the writer's own errors
 }
 
-func (eraWriter *dated) date() {
+func (eraWriter *eraWriter) setEra() {
 	if eraWriter.written {
 		return
 	}
--- a/internal/standin/platformserver/engine.go
+++ b/internal/standin/platformserver/engine.go
@@ -23,14 +23,14 @@
 }
 
 // add adds an engine, or replaces the one at the same address.
-func (fleet *Fleet) set(address string, engine *Engine) {
+func (fleet *Fleet) add(address string, engine *Engine) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.engines[address] = engine
 }
 
 // engineAt returns the engine at an address, or nil.
-func (fleet *Fleet) at(address string) *Engine {
+func (fleet *Fleet) engineAt(address string) *Engine {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.engines[address]
@@ -39,7 +39,7 @@
 // Engine is a simulated model engine with continuous batching: each pass
 // advances the prefill and the decoding of all running requests.
 type Engine struct {
-	*front
+	*server
 
 	model Model
 	fleet *Fleet
@@ -47,71 +47,71 @@
 	passMu sync.Mutex
 	// queued has the requests that aren't admitted yet, and running the admitted
 	// ones in the order of admission.
-	waiting []*generation
+	queued  []*generation
 	running []*generation
 	// prefills has the prefills in progress in order of priority. Those for other
 	// engines come first.
-	parts []*part
+	prefills []*prefill
 	// reservations has the reservations by ticket.
-	tickets map[string]*ticket
-	dead    bool
+	reservations map[string]*reservation
+	killed       bool
 	// wake has an element when there may be work.
 	wake chan struct{}
 }
 
 // prefill is the prefill of a prompt or of a part of it at one engine.
-type part struct {
-	tokens int
-	done   int
+type prefill struct {
+	tokens    int
+	processed int
 	// pairsShare scales the token pairs of the part to its share of the pairs of
 	// the whole prompt.
 	pairsShare float64
 	// isHelp reports whether the prefill is for another engine's request.
-	helps bool
+	isHelp bool
 	// finished is closed at the end of the prefill.
-	read chan struct{}
+	finished chan struct{}
 	// requester is the engine whose request the prefill is for.
-	first *Engine
+	requester *Engine
 }
 
 // generation is a request at the engine that received it and decodes it.
 type generation struct {
-	prompt   int
-	total    int
-	urgency  int
-	reserved int // prompt tokens stored in reservations
+	promptTokens   int
+	outputTokens   int
+	urgency        int
+	reservedTokens int // prompt tokens stored in reservations
 	// hasSpreadMemory reports whether the prompt uses reservations, which are
 	// usually at several engines.
-	spread  bool
-	written int
-	own     *part
+	hasSpreadMemory bool
+	decodedTokens   int
+	ownPrefill      *prefill
 	// helperPrefills has the parts of the prefill at the helpers.
-	others  []*part
-	helpers []*Engine
+	helperPrefills []*prefill
+	helpers        []*Engine
 	// admitted is closed when the request gets a slot and memory. events receives
 	// the number of each event when it is generated, and is closed after the last.
 	admitted chan struct{}
 	events   chan int
 	// ended reports that the handler has returned or a reservation has expired,
 	// so the request is to be dropped.
-	gone bool
+	ended bool
 }
 
-// memory returns the tokens of KV memory that the generation uses at its own
+// memoryTokens returns the tokens of KV memory that the generation uses at its own
 // engine, without reservations.
-func (generation *generation) memory() int {
-	return generation.prompt - generation.reserved + generation.written
+func (generation *generation) memoryTokens() int {
+	return generation.promptTokens - generation.reservedTokens + generation.decodedTokens
 }
 
 // NewEngine returns an engine that has been added to the fleet and runs until ctx
 // is done. The seed determines which requests are affected by faults.
 func NewEngine(ctx context.Context, identity Identity, model Model, fleet *Fleet, record *Record, seed uint64) *Engine {
 	engine := &Engine{
-		front: newFront(identity, record, seed), model: model, fleet: fleet,
-		tickets: make(map[string]*ticket), wake: make(chan struct{}, 1),
+		server: newServer(identity, record, seed), model: model, fleet: fleet,
+		reservations: make(map[string]*reservation), wake: make(chan struct{}, 1),
 	}
-	fleet.set(identity.Address, engine)
-	go engine.work(ctx)
+	fleet.add(identity.Address, engine)
+	go engine.run(ctx)
 	return engine
 }
 
@@ -119,8 +119,8 @@
 func (engine *Engine) Kill() {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
-	engine.dead = true
-	engine.tickets = make(map[string]*ticket)
+	engine.killed = true
+	engine.reservations = make(map[string]*reservation)
 }
 
 // signal wakes the engine if it is idle.
@@ -133,9 +133,9 @@
 
 // run runs passes until ctx is done. A pass takes its planned time, multiplied by
 // the slowdown, and then takes effect.
-func (engine *Engine) work(ctx context.Context) {
+func (engine *Engine) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		cost, finish := engine.pass()
+		cost, finish := engine.planPass()
 		if cost <= 0 {
 			select {
 			case <-engine.wake:
@@ -143,7 +143,7 @@
 			}
 			continue
 		}
-		if wait.For(ctx, time.Duration(engine.slow()*float64(cost))) {
+		if wait.For(ctx, time.Duration(engine.slowdown()*float64(cost))) {
 			finish()
 		}
 	}
@@ -151,64 +151,64 @@
 
 // planPass plans the next pass. It returns the time that the pass takes, or zero if
 // there is no work, and a function that applies its results.
-func (engine *Engine) pass() (time.Duration, func()) {
+func (engine *Engine) planPass() (time.Duration, func()) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
-	if engine.dead {
+	if engine.killed {
 		return 0, nil
 	}
-	engine.forget()
-	engine.admitWaiting()
-	decoding, cost := engine.writers()
+	engine.removeEnded()
+	engine.admitQueued()
+	decoding, cost := engine.decoding()
 	steps := 1
 	if len(decoding) > 0 {
-		steps = engine.model.Stride
+		steps = engine.model.StepsPerPass
 	}
-	budget := steps * engine.model.Chunk
-	progress := make(map[*part]int)
-	for _, prefill := range engine.parts {
-		chunkTokens := min(budget, prefill.tokens-prefill.done)
+	budget := steps * engine.model.ChunkTokens
+	progress := make(map[*prefill]int)
+	for _, prefill := range engine.prefills {
+		chunkTokens := min(budget, prefill.tokens-prefill.processed)
 		if chunkTokens == 0 {
 			continue
 		}
 		progress[prefill] = chunkTokens
 		budget -= chunkTokens
-		cost += engine.model.readTime(prefill.done, prefill.done+chunkTokens, prefill.pairsShare)
+		cost += engine.model.prefillTime(prefill.processed, prefill.processed+chunkTokens, prefill.pairsShare)
 	}
 	if len(decoding) == 0 && len(progress) == 0 {
 		return 0, nil
 	}
 	if len(decoding) == 0 {
-		cost += engine.model.Step
+		cost += engine.model.StepTime
 	}
-	return cost, func() { engine.finish(decoding, progress) }
+	return cost, func() { engine.finishPass(decoding, progress) }
 }
 
 // decoding returns the requests that decode, and the time of their steps in a pass.
-func (engine *Engine) writers() ([]*generation, time.Duration) {
+func (engine *Engine) decoding() ([]*generation, time.Duration) {
 	var decoding []*generation
 	var contexts []int
 	var remoteTime time.Duration
 	for _, generation := range engine.running {
-		if generation.isRead() {
+		if generation.isPrefilled() {
 			decoding = append(decoding, generation)
-			contexts = append(contexts, generation.memory())
-			if generation.spread {
-				remoteTime += engine.model.Hop
+			contexts = append(contexts, generation.memoryTokens())
+			if generation.hasSpreadMemory {
+				remoteTime += engine.model.RemoteMemoryStepTime
 			}
 		}
 	}
 	if len(decoding) == 0 {
 		return nil, 0
 	}
-	return decoding, time.Duration(engine.model.Stride) * (engine.model.stepTime(contexts) + remoteTime)
+	return decoding, time.Duration(engine.model.StepsPerPass) * (engine.model.decodeStepTime(contexts) + remoteTime)
 }
 
 // isPrefilled reports whether all parts of the prefill are finished.
-func (generation *generation) isRead() bool {
-	for _, prefill := range append([]*part{generation.own}, generation.others...) {
+func (generation *generation) isPrefilled() bool {
+	for _, prefill := range append([]*prefill{generation.ownPrefill}, generation.helperPrefills...) {
 		select {
-		case <-prefill.read:
+		case <-prefill.finished:
 		default:
 			return false
 		}
@@ -217,74 +217,74 @@
 }
 
 // finishPass applies the results of a pass.
-func (engine *Engine) finish(decoding []*generation, progress map[*part]int) {
+func (engine *Engine) finishPass(decoding []*generation, progress map[*prefill]int) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
 	for prefill, chunkTokens := range progress {
-		prefill.done += chunkTokens
-		if prefill.done == prefill.tokens {
-			close(prefill.read)
-			prefill.first.signal()
+		prefill.processed += chunkTokens
+		if prefill.processed == prefill.tokens {
+			close(prefill.finished)
+			prefill.requester.signal()
 		}
 	}
-	engine.parts = slices.DeleteFunc(engine.parts, func(prefill *part) bool { return prefill.done == prefill.tokens })
+	engine.prefills = slices.DeleteFunc(engine.prefills, func(prefill *prefill) bool { return prefill.processed == prefill.tokens })
 	for _, generation := range decoding {
-		engine.write(generation)
+		engine.decode(generation)
 	}
 	engine.signal()
 }
 
 // decode adds the output tokens of one pass to a generation.
-func (engine *Engine) write(generation *generation) {
-	if generation.gone || generation.written >= generation.total {
+func (engine *Engine) decode(generation *generation) {
+	if generation.ended || generation.decodedTokens >= generation.outputTokens {
 		return
 	}
-	generation.written = min(generation.total, generation.written+engine.model.Stride)
-	event := (generation.written + engine.model.Stride - 1) / engine.model.Stride
+	generation.decodedTokens = min(generation.outputTokens, generation.decodedTokens+engine.model.StepsPerPass)
+	event := (generation.decodedTokens + engine.model.StepsPerPass - 1) / engine.model.StepsPerPass
 	generation.events <- event // doesn't block: the buffer has space for all events
-	if generation.written >= generation.total {
+	if generation.decodedTokens >= generation.outputTokens {
 		close(generation.events)
 	}
 }
 
 // removeEnded removes generations that are complete or have been ended.
-func (engine *Engine) forget() {
+func (engine *Engine) removeEnded() {
 	isFinished := func(generation *generation) bool {
-		return generation.gone || generation.written >= generation.total
+		return generation.ended || generation.decodedTokens >= generation.outputTokens
 	}
 	for _, generation := range engine.running {
-		if generation.gone {
-			engine.parts = slices.DeleteFunc(engine.parts, func(prefill *part) bool { return prefill == generation.own })
+		if generation.ended {
+			engine.prefills = slices.DeleteFunc(engine.prefills, func(prefill *prefill) bool { return prefill == generation.ownPrefill })
 		}
 	}
 	engine.running = slices.DeleteFunc(engine.running, isFinished)
-	engine.waiting = slices.DeleteFunc(engine.waiting, isFinished)
+	engine.queued = slices.DeleteFunc(engine.queued, isFinished)
 }
 
 // admitQueued admits queued requests in order of urgency while there are free
 // slots and memory. A request that doesn't fit blocks those after it.
-func (engine *Engine) admitWaiting() {
-	engine.lapse()
-	slices.SortStableFunc(engine.waiting, func(a, b *generation) int { return cmp.Compare(a.urgency, b.urgency) })
-	for len(engine.waiting) > 0 && len(engine.running) < engine.model.Slots {
-		next := engine.waiting[0]
-		if engine.free() < next.memory() {
+func (engine *Engine) admitQueued() {
+	engine.expireReservations()
+	slices.SortStableFunc(engine.queued, func(a, b *generation) int { return cmp.Compare(a.urgency, b.urgency) })
+	for len(engine.queued) > 0 && len(engine.running) < engine.model.Slots {
+		next := engine.queued[0]
+		if engine.freeTokens() < next.memoryTokens() {
 			return
 		}
-		engine.waiting = engine.waiting[1:]
+		engine.queued = engine.queued[1:]
 		engine.running = append(engine.running, next)
-		engine.parts = append(engine.parts, next.own)
+		engine.prefills = append(engine.prefills, next.ownPrefill)
 		close(next.admitted)
 	}
 }
 
 // freeTokens returns the memory in tokens that neither requests nor reservations use.
-func (engine *Engine) free() int {
-	freeTokens := engine.model.Memory
+func (engine *Engine) freeTokens() int {
+	freeTokens := engine.model.MemoryTokens
 	for _, generation := range engine.running {
-		freeTokens -= generation.memory()
+		freeTokens -= generation.memoryTokens()
 	}
-	for _, reservation := range engine.tickets {
+	for _, reservation := range engine.reservations {
 		freeTokens -= reservation.tokens
 	}
 	return freeTokens
@@ -293,20 +293,20 @@
 // startHelperPrefill starts the prefill of a part of a prompt for another engine,
 // before the prefills of the engine's own requests. It returns false if the engine
 // has been killed or has too many such prefills.
-func (engine *Engine) help(requester *Engine, tokens int, pairsShare float64) (*part, bool) {
+func (engine *Engine) startHelperPrefill(requester *Engine, tokens int, pairsShare float64) (*prefill, bool) {
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
 	helpCount := 0
-	for _, prefill := range engine.parts {
-		if prefill.helps {
+	for _, prefill := range engine.prefills {
+		if prefill.isHelp {
 			helpCount++
 		}
 	}
-	if engine.dead || helpCount >= engine.model.Slots {
+	if engine.killed || helpCount >= engine.model.Slots {
 		return nil, false
 	}
-	added := &part{tokens: tokens, pairsShare: pairsShare, helps: true, read: make(chan struct{}), first: requester}
-	engine.parts = slices.Insert(engine.parts, helpCount, added)
+	added := &prefill{tokens: tokens, pairsShare: pairsShare, isHelp: true, finished: make(chan struct{}), requester: requester}
+	engine.prefills = slices.Insert(engine.prefills, helpCount, added)
 	engine.signal()
 	return added, true
 }
--- a/internal/standin/platformserver/engine_test.go
+++ b/internal/standin/platformserver/engine_test.go
@@ -16,24 +16,24 @@
 )
 
 // fleet is a number of engines that runs in virtual time, with their record.
-type world struct {
+type fleet struct {
 	engines []*platformserver.Engine
 	record  *platformserver.Record
 }
 
 // runInFleet runs a test with the given number of engines.
-func inWorld(t *testing.T, count int, test func(t *testing.T, fleet *world)) {
+func runInFleet(t *testing.T, count int, test func(t *testing.T, fleet *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		fleet := &world{record: &platformserver.Record{}}
+		fleet := &fleet{record: &platformserver.Record{}}
 		registry := platformserver.NewFleet()
 		for number := range count {
 			identity := platformserver.Identity{
 				Instance: fmt.Sprintf("i-%d", number), Service: "engines", Address: address(number),
 			}
 			fleet.engines = append(fleet.engines,
-				platformserver.NewEngine(ctx, identity, platformserver.UsersModel(), registry, fleet.record, 1))
+				platformserver.NewEngine(ctx, identity, platformserver.ProductionModel(), registry, fleet.record, 1))
 		}
 		defer func() {
 			stop()
@@ -49,7 +49,7 @@
 
 // response is the response to a request to an engine. It is complete when
 // done is closed.
-type asked struct {
+type response struct {
 	*httptest.ResponseRecorder
 
 	// first is the time to first event.
@@ -58,14 +58,14 @@
 }
 
 // ttftWriter records the time to first event.
-type firstWrite struct {
+type ttftWriter struct {
 	*httptest.ResponseRecorder
 
-	response *asked
+	response *response
 	start    time.Time
 }
 
-func (writer *firstWrite) Write(data []byte) (int, error) {
+func (writer *ttftWriter) Write(data []byte) (int, error) {
 	if writer.response.first == 0 {
 		writer.response.first = time.Since(writer.start)
 	}
@@ -74,7 +74,7 @@
 
 // send sends a request with the given numbers of prompt and output tokens to the
 // first engine.
-func (fleet *world) ask(promptTokens, outputTokens int, header map[string]string) *asked {
+func (fleet *fleet) send(promptTokens, outputTokens int, header map[string]string) *response {
 	request := httptest.NewRequest(http.MethodPost, "/chat/x", strings.NewReader("prompt"))
 	request.Header.Set("Request-Id", "r-1")
 	request.Header.Set("Token-Counts", fmt.Sprintf("%d,%d", promptTokens, outputTokens))
@@ -82,8 +82,8 @@
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	response := &asked{ResponseRecorder: httptest.NewRecorder(), done: make(chan struct{})}
-	writer := &firstWrite{ResponseRecorder: response.ResponseRecorder, response: response, start: time.Now()}
+	response := &response{ResponseRecorder: httptest.NewRecorder(), done: make(chan struct{})}
+	writer := &ttftWriter{ResponseRecorder: response.ResponseRecorder, response: response, start: time.Now()}
 	go func() {
 		defer close(response.done)
 		defer func() { _ = recover() }() // the handler panics to cut off the response
@@ -106,12 +106,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 4, func(t *testing.T, fleet *world) {
+			runInFleet(t, 4, func(t *testing.T, fleet *fleet) {
 				var names []string
 				for helper := range test.helpers {
 					names = append(names, address(helper+1))
 				}
-				response := fleet.ask(test.prompt, 86, map[string]string{"Helper-Nodes": strings.Join(names, ",")})
+				response := fleet.send(test.prompt, 86, map[string]string{"Helper-Nodes": strings.Join(names, ",")})
 				<-response.done
 				assert.Equal(t, response.Body.String(), platformserver.Event("r-1", 1)+platformserver.Event("r-1", 2))
 				assert.Assert(t, response.first >= test.min && response.first <= test.max, "%s", response.first)
@@ -148,9 +148,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 2, func(t *testing.T, fleet *world) {
+			runInFleet(t, 2, func(t *testing.T, fleet *fleet) {
 				fleet.engines[0].SetFaults(test.faults)
-				response := fleet.ask(test.prompt, 43, test.header)
+				response := fleet.send(test.prompt, 43, test.header)
 				<-response.done
 				assert.Equal(t, response.Code, test.wantStatus)
 				assert.Equal(t, response.Header().Get("Not-Executed") != "", test.wantNotRun)
@@ -163,10 +163,10 @@
 // The two prompts don't fit into the memory of one engine together, so the second
 // one must be queued until the first has finished.
 func TestRequestWaitsForMemory(t *testing.T) {
-	inWorld(t, 1, func(t *testing.T, fleet *world) {
-		first := fleet.ask(133_000, 430, nil)
+	runInFleet(t, 1, func(t *testing.T, fleet *fleet) {
+		first := fleet.send(133_000, 430, nil)
 		time.Sleep(10 * time.Millisecond)
-		second := fleet.ask(133_000, 43, nil)
+		second := fleet.send(133_000, 43, nil)
 		<-first.done
 		<-second.done
 		assert.Assert(t, second.first > first.first+500*time.Millisecond, "%s after %s", second.first, first.first)
@@ -174,7 +174,7 @@
 }
 
 // sendCommand sends a reservation command to an engine and returns the status.
-func (fleet *world) order(number int, body string) int {
+func (fleet *fleet) sendCommand(number int, body string) int {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/order", strings.NewReader(body))
 	fleet.engines[number].ServeHTTP(recorder, request)
@@ -183,47 +183,47 @@
 
 func TestReservations(t *testing.T) {
 	tests := map[string]struct {
-		run func(t *testing.T, fleet *world)
+		run func(t *testing.T, fleet *fleet)
 	}{
-		"a prompt that exceeds the memory of one engine": {run: func(t *testing.T, fleet *world) {
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
-			assert.Equal(t, fleet.order(1, `{"op":"reserve","id":"t","tokens":100000,"hold_ms":60000}`), http.StatusOK)
-			response := fleet.ask(300_000, 43, map[string]string{"Helper-Nodes": address(0) + "/t," + address(1) + "/t"})
+		"a prompt that exceeds the memory of one engine": {run: func(t *testing.T, fleet *fleet) {
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+			assert.Equal(t, fleet.sendCommand(1, `{"op":"reserve","id":"t","tokens":100000,"hold_ms":60000}`), http.StatusOK)
+			response := fleet.send(300_000, 43, map[string]string{"Helper-Nodes": address(0) + "/t," + address(1) + "/t"})
 			<-response.done
 			assert.Equal(t, response.Code, http.StatusOK)
-			count, _ := fleet.engines[0].Tickets()
+			count, _ := fleet.engines[0].Reservations()
 			assert.Equal(t, count, 1, "the reservation must outlast the request")
-			assert.Equal(t, fleet.order(0, `{"op":"release","id":"t"}`), http.StatusOK)
-			count, _ = fleet.engines[0].Tickets()
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"release","id":"t"}`), http.StatusOK)
+			count, _ = fleet.engines[0].Reservations()
 			assert.Equal(t, count, 0)
 		}},
-		"more tokens than are free": {run: func(t *testing.T, fleet *world) {
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"u","tokens":100000,"hold_ms":60000}`), http.StatusConflict)
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"v","tokens":300000,"hold_ms":60000}`), http.StatusBadRequest)
+		"more tokens than are free": {run: func(t *testing.T, fleet *fleet) {
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"u","tokens":100000,"hold_ms":60000}`), http.StatusConflict)
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"v","tokens":300000,"hold_ms":60000}`), http.StatusBadRequest)
 		}},
-		"a reservation expires unless it is renewed": {run: func(t *testing.T, fleet *world) {
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
+		"a reservation expires unless it is renewed": {run: func(t *testing.T, fleet *fleet) {
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
 			time.Sleep(900 * time.Millisecond)
-			assert.Equal(t, fleet.order(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
+			assert.Equal(t, fleet.sendCommand(0, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":1000}`), http.StatusOK)
 			time.Sleep(900 * time.Millisecond)
-			count, idle := fleet.engines[0].Tickets()
+			count, idle := fleet.engines[0].Reservations()
 			assert.Equal(t, count, 1)
 			assert.Equal(t, idle, 1800*time.Millisecond)
 			time.Sleep(200 * time.Millisecond)
-			count, _ = fleet.engines[0].Tickets()
+			count, _ = fleet.engines[0].Reservations()
 			assert.Equal(t, count, 0)
 		}},
-		"two requests that use one reservation": {run: func(t *testing.T, fleet *world) {
-			assert.Equal(t, fleet.order(1, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
+		"two requests that use one reservation": {run: func(t *testing.T, fleet *fleet) {
+			assert.Equal(t, fleet.sendCommand(1, `{"op":"reserve","id":"t","tokens":200000,"hold_ms":60000}`), http.StatusOK)
 			header := map[string]string{"Helper-Nodes": address(1) + "/t"}
-			first, second := fleet.ask(50_000, 430, header), fleet.ask(50_000, 43, header)
+			first, second := fleet.send(50_000, 430, header), fleet.send(50_000, 43, header)
 			<-first.done
 			<-second.done
 			assert.Equal(t, len(fleet.record.Violations()), 1)
 		}},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { inWorld(t, 2, test.run) })
+		t.Run(name, func(t *testing.T) { runInFleet(t, 2, test.run) })
 	}
 }
--- a/internal/standin/platformserver/plain.go
+++ b/internal/standin/platformserver/plain.go
@@ -10,10 +10,10 @@
 // Plain is a simulated server of a plain service. It refuses requests beyond its
 // number of concurrent requests.
 type Plain struct {
-	*front
+	*server
 
-	work  time.Duration
-	slots chan struct{}
+	processingTime time.Duration
+	slots          chan struct{}
 }
 
 var _ http.Handler = (*Plain)(nil)
@@ -21,7 +21,7 @@
 // NewPlain returns a server with the given number of concurrent requests and
 // processing time. The seed determines which requests are affected by faults.
 func NewPlain(identity Identity, slots int, processingTime time.Duration, record *Record, seed uint64) *Plain {
-	return &Plain{front: newFront(identity, record, seed), work: processingTime, slots: make(chan struct{}, slots)}
+	return &Plain{server: newServer(identity, record, seed), processingTime: processingTime, slots: make(chan struct{}, slots)}
 }
 
 // PlainBody returns the response body for the request with the given ID.
@@ -32,7 +32,7 @@
 // ServeHTTP implements http.Handler.
 func (plain *Plain) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body := readBody(writer, request)
-	drawnFaults, ok := plain.admit(writer, request)
+	drawnFaults, ok := plain.checkRequest(writer, request)
 	if !ok {
 		return
 	}
@@ -40,23 +40,23 @@
 	case plain.slots <- struct{}{}:
 		defer func() { <-plain.slots }()
 	default:
-		notRun(writer, request, http.StatusServiceUnavailable, "")
+		writeNotRun(writer, request, http.StatusServiceUnavailable, "")
 		return
 	}
-	plain.begin(request, body)
+	plain.recordRun(request, body)
 	select {
-	case <-time.After(time.Duration(plain.slow() * float64(plain.work))):
+	case <-time.After(time.Duration(plain.slowdown() * float64(plain.processingTime))):
 	case <-request.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
-	plain.answer(writer, request, drawnFaults)
+	plain.reply(writer, request, drawnFaults)
 }
 
 // reply writes the response to a request that ran, subject to its faults.
-func (plain *Plain) answer(writer http.ResponseWriter, request *http.Request, drawnFaults misfortune) {
+func (plain *Plain) reply(writer http.ResponseWriter, request *http.Request, drawnFaults requestFaults) {
 	id := request.Header.Get(headerID)
 	reply := PlainBody(id)
-	plain.mark(writer, request)
+	plain.setResponseHeaders(writer, request)
 	switch {
 	case drawnFaults.lost:
 		panic(http.ErrAbortHandler)
@@ -72,6 +72,6 @@
 	writer.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 	_, _ = io.WriteString(writer, reply) //nolint:gosec // plain text; fails only if the client has disconnected
 	if drawnFaults.extra {
-		surplus(writer)
+		sendExtraResponse(writer)
 	}
 }
--- a/internal/standin/platformserver/record.go
+++ b/internal/standin/platformserver/record.go
@@ -31,12 +31,12 @@
 	At       time.Time
 	// Draining reports whether the response advertised that the server drains. Backoff is the backoff that it requested
 	// with a refusal, or zero.
-	Leaving bool
-	Rest    time.Duration
+	Draining bool
+	Backoff  time.Duration
 	// RateLimited reports whether the response advertised a rate limit, and RateLimit is the limit in requests per
 	// second from all VMs together.
-	Limited bool
-	Limit   float64
+	RateLimited bool
+	RateLimit   float64
 }
 
 // Record has the requests that all servers received and ran, in order, and the
@@ -54,7 +54,7 @@
 	record.runs = append(record.runs, run)
 }
 
-func (record *Record) arrive(arrival Arrival) {
+func (record *Record) recordArrival(arrival Arrival) {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	record.arrivals = append(record.arrivals, arrival)
@@ -68,7 +68,7 @@
 }
 
 // AddViolation records that a server detected a violation of the protocol.
-func (record *Record) Violate(violation string) {
+func (record *Record) AddViolation(violation string) {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	record.violations = append(record.violations, violation)
--- a/internal/standin/platformserver/stream.go
+++ b/internal/standin/platformserver/stream.go
@@ -8,7 +8,7 @@
 )
 
 // maxHelpers is the maximum number of helper engines in a request.
-const maxNames = 16
+const maxHelpers = 16
 
 // defaultUrgency is the urgency of a request without a priority header; lower values are more urgent.
 const defaultUrgency = 5
@@ -22,30 +22,30 @@
 
 // EventCount returns the number of events in the response to a request with the
 // given number of output tokens.
-func (model Model) Events(tokens int) int {
-	return (tokens + model.Stride - 1) / model.Stride
+func (model Model) EventCount(tokens int) int {
+	return (tokens + model.StepsPerPass - 1) / model.StepsPerPass
 }
 
 // ServeHTTP implements http.Handler.
 func (engine *Engine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == "/order" {
-		engine.serveOrder(writer, request)
+		engine.serveCommand(writer, request)
 		return
 	}
 	body := readBody(writer, request)
-	drawnFaults, ok := engine.admit(writer, request)
+	drawnFaults, ok := engine.checkRequest(writer, request)
 	if !ok {
 		return
 	}
 	generation := newGeneration(request)
-	if !engine.enter(writer, request, generation) {
+	if !engine.enqueue(writer, request, generation) {
 		return
 	}
-	defer engine.leave(generation)
-	if !engine.wait(writer, request, generation) {
+	defer engine.release(generation)
+	if !engine.awaitAdmission(writer, request, generation) {
 		return
 	}
-	engine.begin(request, body)
+	engine.recordRun(request, body)
 	engine.stream(writer, request, generation, drawnFaults)
 }
 
@@ -55,28 +55,28 @@
 	promptCount, outputCount, _ := strings.Cut(request.Header.Get(headerTokens), ",")
 	urgency := defaultUrgency
 	if value := request.Header.Get(headerPriority); value != "" {
-		urgency = count(value)
+		urgency = parseCount(value)
 	}
 	created := &generation{
-		prompt: count(promptCount), total: max(1, count(outputCount)), urgency: urgency, admitted: make(chan struct{}),
+		promptTokens: parseCount(promptCount), outputTokens: max(1, parseCount(outputCount)), urgency: urgency, admitted: make(chan struct{}),
 	}
-	created.events = make(chan int, created.total)
+	created.events = make(chan int, created.outputTokens)
 	return created
 }
 
 // helperRef is an entry of the header with helper engines: the address of an engine,
 // and the ticket of a reservation there or empty.
-type name struct {
+type helperRef struct {
 	address, ticket string
 }
 
 // parseHelpers returns the entries of the header with helper engines.
-func names(header string) []name {
-	var helpers []name
+func parseHelpers(header string) []helperRef {
+	var helpers []helperRef
 	for entry := range strings.SplitSeq(header, ",") {
 		address, ticket, _ := strings.Cut(strings.TrimSpace(entry), "/")
 		if address != "" {
-			helpers = append(helpers, name{address: address, ticket: ticket})
+			helpers = append(helpers, helperRef{address: address, ticket: ticket})
 		}
 	}
 	return helpers
@@ -85,10 +85,10 @@
 // enqueue divides the prompt among the engine and its helpers, and queues the
 // request. It returns false if the request was refused and a response has been
 // written.
-func (engine *Engine) enter(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
-	helpers := names(request.Header.Get(headerHelpers))
-	if len(helpers) > maxNames {
-		notRun(writer, request, http.StatusBadRequest, "")
+func (engine *Engine) enqueue(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
+	helpers := parseHelpers(request.Header.Get(headerHelpers))
+	if len(helpers) > maxHelpers {
+		writeNotRun(writer, request, http.StatusBadRequest, "")
 		return false
 	}
 	engineCount := 1
@@ -98,27 +98,27 @@
 		}
 	}
 	share := 1 / float64(engineCount)
-	tokens := max(1, generation.prompt/engineCount)
+	tokens := max(1, generation.promptTokens/engineCount)
 	// A part of n tokens of a prompt of p tokens has n*n/2 pairs of its own, but
 	// computes p*p/2 pairs divided by the number of engines.
-	pairsScale := share * float64(generation.prompt) * float64(generation.prompt) / (float64(tokens) * float64(tokens))
+	pairsScale := share * float64(generation.promptTokens) * float64(generation.promptTokens) / (float64(tokens) * float64(tokens))
 	for _, helper := range helpers {
-		if atFault := engine.enlist(helper, generation, tokens, pairsScale); atFault != "" {
-			notRun(writer, request, http.StatusServiceUnavailable, atFault)
-			engine.leave(generation)
+		if atFault := engine.addHelper(helper, generation, tokens, pairsScale); atFault != "" {
+			writeNotRun(writer, request, http.StatusServiceUnavailable, atFault)
+			engine.release(generation)
 			return false
 		}
 	}
-	generation.own = &part{tokens: tokens, pairsShare: pairsScale, read: make(chan struct{}), first: engine}
+	generation.ownPrefill = &prefill{tokens: tokens, pairsShare: pairsScale, finished: make(chan struct{}), requester: engine}
 	engine.passMu.Lock()
-	refused := generation.memory() > engine.model.Memory || engine.dead || len(engine.waiting) >= 2*engine.model.Slots
+	refused := generation.memoryTokens() > engine.model.MemoryTokens || engine.killed || len(engine.queued) >= 2*engine.model.Slots
 	if !refused {
-		engine.waiting = append(engine.waiting, generation)
+		engine.queued = append(engine.queued, generation)
 	}
 	engine.passMu.Unlock()
 	if refused {
-		notRun(writer, request, http.StatusServiceUnavailable, "")
-		engine.leave(generation)
+		writeNotRun(writer, request, http.StatusServiceUnavailable, "")
+		engine.release(generation)
 		return false
 	}
 	engine.signal()
@@ -128,35 +128,35 @@
 // addHelper starts a helper's part of the prefill and binds the reservation for
 // its share of the memory. It returns the address of the server at fault if the
 // helper is unavailable, or an empty string.
-func (engine *Engine) enlist(helper name, generation *generation, tokens int, pairsShare float64) string {
-	helperEngine := engine.fleet.at(helper.address)
+func (engine *Engine) addHelper(helper helperRef, generation *generation, tokens int, pairsShare float64) string {
+	helperEngine := engine.fleet.engineAt(helper.address)
 	if helperEngine == nil {
 		return helper.address
 	}
 	if helper.ticket != "" {
-		boundTokens, ok := helperEngine.use(helper.ticket, generation, generation.prompt-generation.reserved)
+		boundTokens, ok := helperEngine.bindReservation(helper.ticket, generation, generation.promptTokens-generation.reservedTokens)
 		if !ok {
 			return helper.address
 		}
-		generation.reserved += boundTokens
-		generation.spread = true
+		generation.reservedTokens += boundTokens
+		generation.hasSpreadMemory = true
 	}
 	if helperEngine == engine {
 		return ""
 	}
-	prefill, ok := helperEngine.help(engine, tokens, pairsShare)
+	prefill, ok := helperEngine.startHelperPrefill(engine, tokens, pairsShare)
 	if !ok {
 		return helper.address
 	}
-	generation.others = append(generation.others, prefill)
+	generation.helperPrefills = append(generation.helperPrefills, prefill)
 	generation.helpers = append(generation.helpers, helperEngine)
 	return ""
 }
 
 // release marks a request as ended and its reservations at all engines as unused.
-func (engine *Engine) leave(generation *generation) {
+func (engine *Engine) release(generation *generation) {
 	engine.passMu.Lock()
-	generation.gone = true
+	generation.ended = true
 	engine.passMu.Unlock()
 	engine.fleet.mu.Lock()
 	engines := make([]*Engine, 0, len(engine.fleet.engines))
@@ -165,20 +165,20 @@
 	}
 	engine.fleet.mu.Unlock()
 	for _, other := range engines {
-		other.unuse(generation)
+		other.unbindReservations(generation)
 	}
 	engine.signal()
 }
 
 // awaitAdmission waits until the request is admitted. It returns false, after
 // writing a response, if the request's deadline expires first.
-func (engine *Engine) wait(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
-	timeout := time.Duration(max(1, count(request.Header.Get(headerDeadline)))) * time.Millisecond
+func (engine *Engine) awaitAdmission(writer http.ResponseWriter, request *http.Request, generation *generation) bool {
+	timeout := time.Duration(max(1, parseCount(request.Header.Get(headerDeadline)))) * time.Millisecond
 	select {
 	case <-generation.admitted:
 		return true
 	case <-time.After(timeout):
-		notRun(writer, request, http.StatusServiceUnavailable, "")
+		writeNotRun(writer, request, http.StatusServiceUnavailable, "")
 		return false
 	case <-request.Context().Done():
 		panic(http.ErrAbortHandler)
@@ -187,10 +187,10 @@
 
 // stream sends the events after the last one that the client received, subject to
 // the request's faults.
-func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, generation *generation, drawnFaults misfortune) {
+func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, generation *generation, drawnFaults requestFaults) {
 	id := request.Header.Get(headerID)
-	lastEvent := count(request.Header.Get(headerLastEvent))
-	engine.mark(writer, request)
+	lastEvent := parseCount(request.Header.Get(headerLastEvent))
+	engine.setResponseHeaders(writer, request)
 	if drawnFaults.errors {
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
@@ -201,9 +201,9 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	_ = controller.Flush() // fails only if the client has disconnected, which ends the context
-	halfway := engine.model.Events(generation.total) / 2
+	halfway := engine.model.EventCount(generation.outputTokens) / 2
 	for {
-		event, ok := engine.next(request, generation)
+		event, ok := engine.nextEvent(request, generation)
 		if !ok {
 			return
 		}
@@ -224,15 +224,15 @@
 // nextEvent returns the number of the next event, or false after the last. If the
 // engine or a helper has been killed, it aborts the handler after StallTimeout
 // without progress.
-func (engine *Engine) next(request *http.Request, generation *generation) (int, bool) {
+func (engine *Engine) nextEvent(request *http.Request, generation *generation) (int, bool) {
 	for {
-		stall := time.NewTimer(engine.model.Stall)
+		stall := time.NewTimer(engine.model.StallTimeout)
 		select {
 		case event, ok := <-generation.events:
 			stall.Stop()
 			return event, ok
 		case <-stall.C:
-			if !engine.relies(generation) {
+			if !engine.enginesAlive(generation) {
 				panic(http.ErrAbortHandler)
 			}
 		case <-request.Context().Done():
@@ -244,10 +244,10 @@
 
 // enginesAlive reports whether all engines that process a request are running and
 // the request has not been ended.
-func (engine *Engine) relies(generation *generation) bool {
+func (engine *Engine) enginesAlive(generation *generation) bool {
 	for _, other := range append([]*Engine{engine}, generation.helpers...) {
 		other.passMu.Lock()
-		killed := other.dead
+		killed := other.killed
 		other.passMu.Unlock()
 		if killed {
 			return false
@@ -255,5 +255,5 @@
 	}
 	engine.passMu.Lock()
 	defer engine.passMu.Unlock()
-	return !generation.gone
+	return !generation.ended
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -18,22 +18,22 @@
 type server struct {
 	vm infra.VM
 	// build returns a new engine or service without any state.
-	build func() parts
+	build func() instance
 
 	mu sync.Mutex
 	// running is nil while the server is stopped.
-	running *parts
+	running *instance
 	http    *http.Server
 	cancel  context.CancelFunc
 }
 
 // instance is what a server runs: either engine or service is nil.
-type parts struct {
+type instance struct {
 	engine  *engine.Engine
 	service *service.Service
 }
 
-func (instance parts) handler() http.Handler {
+func (instance instance) handler() http.Handler {
 	if instance.engine != nil {
 		return instance.engine.Handler()
 	}
@@ -59,7 +59,7 @@
 	server.http = &http.Server{Handler: built.handler()} //nolint:gosec // for tests, on loopback
 	if built.engine != nil {
 		go built.engine.Run()
-		go built.engine.Housekeep(serverContext)
+		go built.engine.RunMaintenance(serverContext)
 	}
 	go func(http *http.Server) { _ = http.Serve(listener) }(server.http)
 	return nil
@@ -82,15 +82,15 @@
 
 // drain makes the server refuse new requests. It does nothing if the server is
 // stopped.
-func (server *server) leave() {
+func (server *server) drain() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	switch {
 	case server.running == nil:
 	case server.running.engine != nil:
-		server.running.engine.Leave()
+		server.running.engine.Drain()
 	default:
-		server.running.service.Leave()
+		server.running.service.Drain()
 	}
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -24,7 +24,7 @@
 type Faults struct {
 	// LoseResponses makes the service execute calls and then close the
 	// connection without a response.
-	LoseAnswers bool `json:"lose_answers"`
+	LoseResponses bool `json:"lose_answers"`
 }
 
 // Service is a simulated plain service. It is safe for concurrent use.
@@ -34,9 +34,9 @@
 	duration      time.Duration
 	executions    *execution.Log
 
-	mu      sync.Mutex
-	faults  Faults
-	leaving bool
+	mu       sync.Mutex
+	faults   Faults
+	draining bool
 	// fences has the highest fencing token seen for each organisation and key.
 	fences map[string]uint64
 }
@@ -69,10 +69,10 @@
 }
 
 // Drain makes the service refuse new calls; calls in flight finish.
-func (service *Service) Leave() {
+func (service *Service) Drain() {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	service.leaving = true
+	service.draining = true
 }
 
 func (service *Service) handleCall(w http.ResponseWriter, r *http.Request) {
@@ -95,7 +95,7 @@
 	})
 	time.Sleep(service.duration)
 	service.mu.Lock()
-	loseResponse := service.faults.LoseAnswers
+	loseResponse := service.faults.LoseResponses
 	service.mu.Unlock()
 	if loseResponse {
 		panic(http.ErrAbortHandler)
@@ -107,7 +107,7 @@
 func (service *Service) check(header http.Header) *backend.Refusal {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	if service.leaving {
+	if service.draining {
 		return &backend.Refusal{Reason: "leaving", NotRun: true, Leaving: true}
 	}
 	key := header.Get(backend.HeaderKey)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -82,8 +82,8 @@
 			ChecksFencing: group.ChecksFencing,
 			MemoryTokens:  uint64(standin.settings.Engine.MemoryTokens), //nolint:gosec // checked to be positive
 		}
-		standin.servers[vm.ID] = &server{vm: vm, build: func() parts {
-			return parts{engine: engine.New(
+		standin.servers[vm.ID] = &server{vm: vm, build: func() instance {
+			return instance{engine: engine.New(
 				vm.ID, vm.Models, vm.ChecksFencing, standin.settings.Engine, standin.executions, standin.engine,
 				standin.weights.Fetch,
 			)}
@@ -101,8 +101,8 @@
 			Models:        []string{group.Service},
 			ChecksFencing: group.ChecksFencing,
 		}
-		standin.servers[vm.ID] = &server{vm: vm, build: func() parts {
-			return parts{service: service.New(vm.ID, vm.ChecksFencing, group.Duration, standin.executions)}
+		standin.servers[vm.ID] = &server{vm: vm, build: func() instance {
+			return instance{service: service.New(vm.ID, vm.ChecksFencing, group.Duration, standin.executions)}
 		}}
 	}
 }
@@ -161,7 +161,7 @@
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		healthy := answers(ctx, client, "http://"+vm.Address+"/healthz")
+		healthy := isHealthy(ctx, client, "http://"+vm.Address+"/healthz")
 		switch {
 		case healthy && !listed:
 			standin.vms.Put(infra.VM{
@@ -184,7 +184,7 @@
 }
 
 // isHealthy reports whether a GET request to the URL returns status 200.
-func answers(ctx context.Context, client *http.Client, url string) bool {
+func isHealthy(ctx context.Context, client *http.Client, url string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return false
@@ -233,17 +233,17 @@
 		}
 	}
 	return errors.CombineErrors(
-		standin.each(ctx, faults.Kill, standin.kill),
+		standin.forEach(ctx, faults.Kill, standin.kill),
 		errors.CombineErrors(
-			standin.each(ctx, faults.Start, standin.start),
-			standin.each(ctx, faults.Leave, standin.leave),
+			standin.forEach(ctx, faults.Start, standin.start),
+			standin.forEach(ctx, faults.Drain, standin.drain),
 		),
 	)
 }
 
 // forEach applies a function to the servers with the given IDs, until the first
 // error.
-func (standin *Standin) each(ctx context.Context, ids []string, apply func(context.Context, *server) error) error {
+func (standin *Standin) forEach(ctx context.Context, ids []string, apply func(context.Context, *server) error) error {
 	for _, id := range ids {
 		server := standin.servers[id]
 		if server == nil {
@@ -268,9 +268,9 @@
 	return server.start(ctx)
 }
 
-func (standin *Standin) leave(_ context.Context, server *server) error {
-	server.leave()
-	standin.vms.Leave(server.vm.ID)
+func (standin *Standin) drain(_ context.Context, server *server) error {
+	server.drain()
+	standin.vms.MarkDraining(server.vm.ID)
 	return nil
 }
 
@@ -284,7 +284,7 @@
 	loads := make(map[string]backend.Load)
 	for id := range standin.servers {
 		if engine := standin.engine(id); engine != nil {
-			loads[id] = engine.Truth()
+			loads[id] = engine.CurrentLoad()
 		}
 	}
 	_ = json.NewEncoder(w).Encode(loads)
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -56,19 +56,19 @@
 // Put adds a VM, or replaces the one with the same ID.
 func (vmlist *VMList) Put(vm infra.VM) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
-		return append(without(vms, vm.ID), vm)
+		return append(withoutVM(vms, vm.ID), vm)
 	})
 }
 
 // Remove removes the VM with the given ID, if there is one.
 func (vmlist *VMList) Remove(id string) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
-		return without(vms, id)
+		return withoutVM(vms, id)
 	})
 }
 
 // MarkDraining marks the VM with the given ID as draining.
-func (vmlist *VMList) Leave(id string) {
+func (vmlist *VMList) MarkDraining(id string) {
 	vmlist.change(func(vms []infra.VM) []infra.VM {
 		changed := slices.Clone(vms)
 		for i := range changed {
@@ -121,6 +121,6 @@
 	_ = json.NewEncoder(w).Encode(vms)
 }
 
-func without(vms []infra.VM, id string) []infra.VM {
+func withoutVM(vms []infra.VM, id string) []infra.VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm infra.VM) bool { return vm.ID == id })
 }
