--- a/internal/cmd/evacuationcmd.go
+++ b/internal/cmd/evacuationcmd.go
@@ -37,7 +37,7 @@
 				ArgsUsage: "DATA-CENTRE",
 				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the evacuation", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
-					return remove(ctx, command, pathEvacuations+"/")
+					return removeObject(ctx, command, pathEvacuations+"/")
 				},
 			},
 		},
@@ -46,7 +46,7 @@
 
 func listEvacuations(ctx context.Context, command *cli.Command) error {
 	var evacuations []entry.Evacuation
-	return show(ctx, command, pathEvacuations, &evacuations, func(w io.Writer) {
+	return showObject(ctx, command, pathEvacuations, &evacuations, func(w io.Writer) {
 		fmt.Fprintln(w, "DATA CENTRE\tVERSION")
 		for _, evacuation := range evacuations {
 			fmt.Fprintf(w, "%s\t%d\n", evacuation.DataCentre, evacuation.Version)
@@ -56,7 +56,7 @@
 
 func beginEvacuation(ctx context.Context, command *cli.Command) error {
 	if command.Bool(flagConfirm) {
-		return change(ctx, command, http.MethodPut, pathEvacuations+"/", "", nil)
+		return changeObject(ctx, command, http.MethodPut, pathEvacuations+"/", "", nil)
 	}
 	name, err := escapedName(command)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	var plan entry.EvacuationPlan
 	write := func(w io.Writer) { writeEvacuationPlan(w, plan) }
-	if err := show(ctx, command, pathEvacuations+"/"+name, &plan, write); err != nil {
+	if err := showObject(ctx, command, pathEvacuations+"/"+name, &plan, write); err != nil {
 		return err
 	}
 	return &exitError{code: exitUsage, err: errors.Newf("evacuation not begun: --%s is not set", flagConfirm)}
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -25,7 +25,7 @@
 
 // lookback is the time before a request's first line from which lines about the
 // state of servers are included. A VM places requests by server state that is up to this old.
-const before = 3 * time.Second
+const lookback = 3 * time.Second
 
 // newExplainCommand returns the subcommand that prints the log lines that matter for one request.
 func newExplainCommand() *cli.Command {
@@ -39,7 +39,7 @@
 			if command.Args().Len() == 0 {
 				return &exitError{code: exitUsage, err: errors.New("a request ID is required")}
 			}
-			lines, err := logread.Files(command.Args().Tail(), command.Root().Reader)
+			lines, err := logread.ReadFiles(command.Args().Tail(), command.Root().Reader)
 			if err != nil {
 				return err
 			}
@@ -57,11 +57,11 @@
 		if line.Request != id {
 			continue
 		}
-		if len(vms) == 0 || line.At.Before(first) {
-			first = line.At
+		if len(vms) == 0 || line.Timestamp.Before(first) {
+			first = line.Timestamp
 		}
-		if line.At.After(last) {
-			last = line.At
+		if line.Timestamp.After(last) {
+			last = line.Timestamp
 		}
 		vms[line.VM] = true
 	}
@@ -70,17 +70,17 @@
 	}
 	servers := serversOf(id, lines)
 	selected := slices.DeleteFunc(lines, func(line logread.Line) bool {
-		isContext := line.Request == "" && vms[line.VM] && !line.At.Before(first.Add(-before)) && !line.At.After(last)
-		server, namesServer := line.Rest[keyServer].(string)
+		isContext := line.Request == "" && vms[line.VM] && !line.Timestamp.Before(first.Add(-lookback)) && !line.Timestamp.After(last)
+		server, namesServer := line.Fields[keyServer].(string)
 		return line.Request != id && (!isContext || namesServer && !servers[server])
 	})
-	slices.SortStableFunc(selected, func(a, b logread.Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM)) })
+	slices.SortStableFunc(selected, func(a, b logread.Line) int { return cmp.Or(a.Timestamp.Compare(b.Timestamp), cmp.Compare(a.VM, b.VM)) })
 	for _, line := range selected {
 		marker := " "
 		if line.Request == id {
 			marker = "*"
 		}
-		fmt.Fprintf(output, "%s %+9.3fs %s  %s%s\n", marker, line.At.Sub(first).Seconds(), line.VM, line.Message, fieldsOf(line))
+		fmt.Fprintf(output, "%s %+9.3fs %s  %s%s\n", marker, line.Timestamp.Sub(first).Seconds(), line.VM, line.Message, formatFields(line))
 	}
 	return nil
 }
@@ -93,11 +93,11 @@
 			continue
 		}
 		for _, key := range []string{keyServer, keyAtFault} {
-			if server, ok := line.Rest[key].(string); ok {
+			if server, ok := line.Fields[key].(string); ok {
 				servers[server] = true
 			}
 		}
-		for _, helper := range line.Texts(keyHelpers) {
+		for _, helper := range line.Strings(keyHelpers) {
 			servers[helper] = true
 		}
 	}
@@ -106,10 +106,10 @@
 
 // formatFields returns the fields of a line, sorted by key. Empty ones are omitted.
 // Durations are logged in nanoseconds, and are formatted with a unit.
-func fieldsOf(line logread.Line) string {
+func formatFields(line logread.Line) string {
 	text := &strings.Builder{}
-	for _, key := range slices.Sorted(maps.Keys(line.Rest)) {
-		value := line.Rest[key]
+	for _, key := range slices.Sorted(maps.Keys(line.Fields)) {
+		value := line.Fields[key]
 		if value == "" || value == nil {
 			continue
 		}
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -25,9 +25,9 @@
 	flagSite = "site"
 	// memoryLimitFraction is the fraction of the VM's memory that is the soft memory limit of the
 	// Go runtime, near which garbage is collected more often at the expense of speed.
-	memoryPart = 0.7
+	memoryLimitFraction = 0.7
 	// sitePollInterval is the interval between checks whether the site file has changed.
-	siteLook = 2 * time.Second
+	sitePollInterval = 2 * time.Second
 )
 
 // NewGatewayCommand returns the command line of mw-gateway.
@@ -70,7 +70,7 @@
 		return errors.Wrap(err, "check")
 	}
 	if site.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(site.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(site.MemoryBytes)))
 	}
 	output := logging.New(os.Stdout, tuning.Logging.MaxQueuedLines)
 	defer output.Close()
@@ -82,7 +82,7 @@
 	}
 	epochs := epoch.New(clock.Now)
 	store := platform.NewStore(site.StoreAddress, network.NewTransport(sockets), epochs)
-	process, err := gateway.New(tuning, site, platform.Codec{}, platform.Orders{}, gateway.Sources{
+	process, err := gateway.New(tuning, site, platform.Codec{}, platform.EngineCodec{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
 		Registry:      platform.NewMembers(store, logger),
@@ -103,20 +103,20 @@
 func reloadSite(
 	ctx context.Context, hangups <-chan os.Signal, file string, process *gateway.Gateway, logger *slog.Logger,
 ) {
-	ticker := time.NewTicker(siteLook)
+	ticker := time.NewTicker(sitePollInterval)
 	defer ticker.Stop()
-	modified := changeTime(file)
+	modified := modificationTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if changeTime(file).Equal(modified) {
+			if modificationTime(file).Equal(modified) {
 				continue
 			}
 		}
-		modified = changeTime(file)
+		modified = modificationTime(file)
 		site, err := platform.LoadSettings(file)
 		if err != nil {
 			logger.Error("reloading the settings failed; keeping the previous ones", "error", err)
@@ -127,7 +127,7 @@
 }
 
 // modificationTime returns the modification time of a file, or zero if the file is missing.
-func changeTime(file string) time.Time {
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/internal/cmd/lossescmd.go
+++ b/internal/cmd/lossescmd.go
@@ -15,12 +15,12 @@
 
 // Flags of the losses command.
 const (
-	flagPlot          = "plot"
-	flagServers       = "servers"
-	flagSlots         = "slots"
-	flagReadPerSecond = "read-per-s"
-	flagPairs         = "pairs-per-m"
-	flagLongFrom      = "long-from"
+	flagPlot             = "plot"
+	flagServers          = "servers"
+	flagSlots            = "slots"
+	flagPrefillRate      = "read-per-s"
+	flagPairsPerMillion  = "pairs-per-m"
+	flagMinLongObjective = "long-from"
 )
 
 // newLossesCommand returns the subcommand that reports why requests were not served
@@ -36,12 +36,12 @@
 			&cli.StringFlag{Name: flagPlot, Usage: "also write a plot by second to `FILE`, as .svg, .png or .pdf"},
 			&cli.IntFlag{Name: flagServers, Usage: "also estimate the prefills that `COUNT` engines could serve in time with all arrivals known in advance"},
 			&cli.IntFlag{Name: flagSlots, Value: 16, Usage: "maximum concurrent requests of one engine"},
-			&cli.FloatFlag{Name: flagReadPerSecond, Value: 154_000, Usage: "prefill rate of one engine, in tokens a second"},
-			&cli.FloatFlag{Name: flagPairs, Value: 0.162, Usage: "prefill time for a million pairs of a token and an earlier token, in milliseconds"},
-			&cli.DurationFlag{Name: flagLongFrom, Value: time.Second, Usage: "minimum objective of a prompt that counts as long"},
+			&cli.FloatFlag{Name: flagPrefillRate, Value: 154_000, Usage: "prefill rate of one engine, in tokens a second"},
+			&cli.FloatFlag{Name: flagPairsPerMillion, Value: 0.162, Usage: "prefill time for a million pairs of a token and an earlier token, in milliseconds"},
+			&cli.DurationFlag{Name: flagMinLongObjective, Value: time.Second, Usage: "minimum objective of a prompt that counts as long"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
-			lines, err := logread.Files(command.Args().Slice(), command.Root().Reader)
+			lines, err := logread.ReadFiles(command.Args().Slice(), command.Root().Reader)
 			if err != nil {
 				return err
 			}
@@ -74,14 +74,14 @@
 			return &exitError{code: exitUsage, err: errors.Newf("--%s: must be greater than 0", name)}
 		}
 	}
-	if command.Float(flagReadPerSecond) <= 0 {
-		return &exitError{code: exitUsage, err: errors.Newf("--%s: must be greater than 0", flagReadPerSecond)}
+	if command.Float(flagPrefillRate) <= 0 {
+		return &exitError{code: exitUsage, err: errors.Newf("--%s: must be greater than 0", flagPrefillRate)}
 	}
 	fleet := losses.Fleet{
-		Servers: servers, LongFrom: command.Duration(flagLongFrom),
+		Servers: servers, MinLongObjective: command.Duration(flagMinLongObjective),
 		Engine: catalog.Engine{
-			Slots: command.Int(flagSlots), PrefillTokensPerSecond: command.Float(flagReadPerSecond),
-			TimePerMillionPairs: time.Duration(command.Float(flagPairs) * float64(time.Millisecond)),
+			Slots: command.Int(flagSlots), PrefillTokensPerSecond: command.Float(flagPrefillRate),
+			TimePerMillionPairs: time.Duration(command.Float(flagPairsPerMillion) * float64(time.Millisecond)),
 		},
 	}
 	fmt.Fprintln(command.Root().Writer)
--- a/internal/cmd/mastwinchcmd.go
+++ b/internal/cmd/mastwinchcmd.go
@@ -57,7 +57,7 @@
 		Usage: "show the status of an entry",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			var status entry.VMStatus
-			return show(ctx, command, "/v1/admin/status", &status, func(w io.Writer) {
+			return showObject(ctx, command, "/v1/admin/status", &status, func(w io.Writer) {
 				fmt.Fprintf(w, "VM\t%s\nstopping\t%t\nkeeper connected\t%t\nnext offset\t%d\nconfiguration version\t%d\nkeys\t%d\nrunning\t%d\n",
 					status.VM, status.Stopping, status.KeeperConnected, status.NextOffset,
 					status.ConfigurationVersion, status.Keys, status.Running)
@@ -74,7 +74,7 @@
 		Name:  "ready",
 		Usage: "exit with 0 if an entry is ready",
 		Action: func(ctx context.Context, command *cli.Command) error {
-			body, status, err := ask(ctx, command, http.MethodGet, "/readyz", nil)
+			body, status, err := sendRequest(ctx, command, http.MethodGet, "/readyz", nil)
 			if err == nil && status != http.StatusOK {
 				err = errors.Newf("not ready: %s", bytes.TrimSpace(body))
 			}
@@ -106,7 +106,7 @@
 				ArgsUsage: "NAME",
 				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the organisation", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
-					return remove(ctx, command, "/v1/admin/organisations/")
+					return removeObject(ctx, command, "/v1/admin/organisations/")
 				},
 			},
 		},
@@ -126,7 +126,7 @@
 				Flags:     []cli.Flag{&cli.StringFlag{Name: "organisation", Usage: "the organisation of the session", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
 					created := entry.Session{Organisation: command.String("organisation")}
-					return change(ctx, command, http.MethodPut, "/v1/admin/sessions/", "", created)
+					return changeObject(ctx, command, http.MethodPut, "/v1/admin/sessions/", "", created)
 				},
 			},
 			{
@@ -135,7 +135,7 @@
 				ArgsUsage: "ID",
 				Flags:     []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "the current version of the session", Required: true}},
 				Action: func(ctx context.Context, command *cli.Command) error {
-					return remove(ctx, command, "/v1/admin/sessions/")
+					return removeObject(ctx, command, "/v1/admin/sessions/")
 				},
 			},
 		},
@@ -144,7 +144,7 @@
 
 func listOrganisations(ctx context.Context, command *cli.Command) error {
 	var organisations []entry.Organisation
-	return show(ctx, command, "/v1/admin/organisations", &organisations, func(w io.Writer) {
+	return showObject(ctx, command, "/v1/admin/organisations", &organisations, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tWEIGHT\tMAX CONCURRENT\tVERSION")
 		for _, organisation := range organisations {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", organisation.Name, organisation.Weight,
@@ -155,7 +155,7 @@
 
 func listSessions(ctx context.Context, command *cli.Command) error {
 	var sessions []entry.Session
-	return show(ctx, command, "/v1/admin/sessions", &sessions, func(w io.Writer) {
+	return showObject(ctx, command, "/v1/admin/sessions", &sessions, func(w io.Writer) {
 		fmt.Fprintln(w, "ID\tORGANISATION\tVERSION")
 		for _, session := range sessions {
 			fmt.Fprintf(w, "%s\t%s\t%d\n", session.ID, session.Organisation, session.Version)
@@ -164,7 +164,7 @@
 }
 
 func putOrganisation(ctx context.Context, command *cli.Command) error {
-	return change(ctx, command, http.MethodPut, "/v1/admin/organisations/", "", entry.Organisation{
+	return changeObject(ctx, command, http.MethodPut, "/v1/admin/organisations/", "", entry.Organisation{
 		Weight:        command.Uint32("weight"),
 		MaxConcurrent: command.Uint32("max-concurrent"),
 		Version:       command.Uint64(flagVersion),
@@ -172,20 +172,20 @@
 }
 
 // removeObject deletes the object of the entry that the single argument names, if it has the version of the --version flag.
-func remove(ctx context.Context, command *cli.Command, path string) error {
+func removeObject(ctx context.Context, command *cli.Command, path string) error {
 	query := "?version=" + strconv.FormatUint(command.Uint64(flagVersion), 10)
-	return change(ctx, command, http.MethodDelete, path, query, nil)
+	return changeObject(ctx, command, http.MethodDelete, path, query, nil)
 }
 
 // showObject is showURL for a path of the entry that the --entry flag selects.
-func show(ctx context.Context, command *cli.Command, path string, value any, table func(io.Writer)) error {
-	return showAt(ctx, command, command.String(flagEntry)+path, value, table)
+func showObject(ctx context.Context, command *cli.Command, path string, value any, table func(io.Writer)) error {
+	return showURL(ctx, command, command.String(flagEntry)+path, value, table)
 }
 
 // showURL gets a URL and prints the response body: unchanged with --output json, and otherwise decoded into value and
 // written by table.
-func showAt(ctx context.Context, command *cli.Command, address string, value any, table func(io.Writer)) error {
-	body, status, err := askAt(ctx, http.MethodGet, address, nil)
+func showURL(ctx context.Context, command *cli.Command, address string, value any, table func(io.Writer)) error {
+	body, status, err := sendRequestTo(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return err
 	}
@@ -215,12 +215,12 @@
 
 // changeObject sends a request that changes the object of the entry that the single argument names, and prints the response. The
 // request path is path, the escaped name and query; a nil value is sent as null.
-func change(ctx context.Context, command *cli.Command, method, path, query string, value any) error {
+func changeObject(ctx context.Context, command *cli.Command, method, path, query string, value any) error {
 	name, err := escapedName(command)
 	if err != nil {
 		return err
 	}
-	body, status, err := ask(ctx, command, method, path+name+query, value)
+	body, status, err := sendRequest(ctx, command, method, path+name+query, value)
 	if err != nil {
 		return err
 	}
@@ -238,12 +238,12 @@
 }
 
 // sendRequest is sendRequestTo for a path of the entry that the --entry flag selects.
-func ask(ctx context.Context, command *cli.Command, method, path string, value any) ([]byte, int, error) {
-	return askAt(ctx, method, command.String(flagEntry)+path, value)
+func sendRequest(ctx context.Context, command *cli.Command, method, path string, value any) ([]byte, int, error) {
+	return sendRequestTo(ctx, method, command.String(flagEntry)+path, value)
 }
 
 // sendRequestTo sends a request to a URL, with value as its JSON body, and returns the body and the status of the response.
-func askAt(ctx context.Context, method, address string, value any) ([]byte, int, error) {
+func sendRequestTo(ctx context.Context, method, address string, value any) ([]byte, int, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return nil, 0, errors.WithStack(err)
--- a/internal/cmd/serverscmd.go
+++ b/internal/cmd/serverscmd.go
@@ -28,7 +28,7 @@
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			var status gateway.Status
-			return showAt(ctx, command, command.String(flagVM)+"/status", &status, func(w io.Writer) {
+			return showURL(ctx, command, command.String(flagVM)+"/status", &status, func(w io.Writer) {
 				writeStatus(w, status)
 			})
 		},
@@ -41,11 +41,11 @@
 func writeStatus(w io.Writer, status gateway.Status) {
 	fmt.Fprintf(w, "VM\t%s\nVMs heard\t%d\ndecides\t%s\nepoch of the store\t%d%s\n\n",
 		status.VM, status.Members, cmp.Or(strings.Join(status.Coordinators, ", "), "nobody"),
-		status.Epoch, ago(", rose %.0f s ago", status.EpochSeconds))
+		status.Epoch, formatIfSet(", rose %.0f s ago", status.EpochSeconds))
 	fmt.Fprintln(w, "SERVER\tSERVICE\tLISTING\tRUNNING\tSUSPECT\tLEAVING\tRESTS FROM\tLIMIT\tCOLD")
 	for _, server := range status.Servers {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%s\t%s\t%s\t%s\n", server.ID, server.Service, server.Listing, server.Running, server.Suspect,
-			leavingText(server), restsText(server.Backoffs), limitText(server.Limit), cmp.Or(ago("%.1f s more", server.ColdSeconds), nothing))
+			drainingText(server), backoffsText(server.Backoffs), rateLimitText(server.Limit), cmp.Or(formatIfSet("%.1f s more", server.ColdSeconds), emptyCell))
 	}
 	if len(status.Quarantined) == 0 {
 		return
@@ -57,26 +57,26 @@
 }
 
 // emptyCell is the text of cells without a value.
-const nothing = "-"
+const emptyCell = "-"
 
 // formatIfSet formats a number of seconds, and returns an empty string for zero.
-func ago(format string, seconds float64) string {
+func formatIfSet(format string, seconds float64) string {
 	if seconds == 0 {
 		return ""
 	}
 	return fmt.Sprintf(format, seconds)
 }
 
-func leavingText(server pool.ServerStatus) string {
+func drainingText(server pool.ServerStatus) string {
 	if server.DrainingReportedBy == "" {
-		return nothing
+		return emptyCell
 	}
 	return "by " + server.DrainingReportedBy
 }
 
-func restsText(backoffs []pool.BackoffStatus) string {
+func backoffsText(backoffs []pool.BackoffStatus) string {
 	if len(backoffs) == 0 {
-		return nothing
+		return emptyCell
 	}
 	texts := make([]string, 0, len(backoffs))
 	for _, backoff := range backoffs {
@@ -85,10 +85,10 @@
 	return strings.Join(texts, ", ")
 }
 
-func limitText(limit *pool.LimitStatus) string {
+func rateLimitText(limit *pool.LimitStatus) string {
 	switch {
 	case limit == nil:
-		return nothing
+		return emptyCell
 	case limit.Lifted:
 		return fmt.Sprintf("lifted, was %g/s", limit.PerSecond)
 	default:
--- a/internal/cmd/soakcmd.go
+++ b/internal/cmd/soakcmd.go
@@ -16,7 +16,7 @@
 const (
 	flagSeeds   = "seeds"
 	flagFrom    = "from"
-	flagProgram = "gateway"
+	flagGateway = "gateway"
 	flagKeep    = "keep"
 	flagLength  = "length"
 	flagVMs     = "vms"
@@ -34,7 +34,7 @@
 		Usage:                 "run gateways against stand-ins, inject faults, and check the guarantees",
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagProgram, Value: "bin/mw-gateway", Usage: "path of the gateway's `PROGRAM`"},
+			&cli.StringFlag{Name: flagGateway, Value: "bin/mw-gateway", Usage: "path of the gateway's `PROGRAM`"},
 			&cli.Uint64Flag{Name: flagFrom, Value: 1, Usage: "first `SEED`"},
 			&cli.Uint64Flag{Name: flagSeeds, Value: 1, Usage: "number of `SEEDS`, which run one after the other"},
 			&cli.DurationFlag{Name: flagLength, Value: defaults.Length, Usage: "duration of the load"},
@@ -51,7 +51,7 @@
 
 func runSoak(ctx context.Context, command *cli.Command) error {
 	settings := soak.DefaultSettings()
-	settings.Program = command.String(flagProgram)
+	settings.Program = command.String(flagGateway)
 	settings.Length = command.Duration(flagLength)
 	settings.VMs = command.Int(flagVMs)
 	settings.Engines = command.Int(flagEngines)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -214,7 +214,7 @@
 	clock := harness.newClock()
 	epochs := epoch.New(clock.Now)
 	store := platform.NewStore(storeAddress, transport, epochs)
-	instance, err := gateway.New(gateway.DefaultSettings(), site, platform.Codec{}, platform.Orders{}, gateway.Sources{
+	instance, err := gateway.New(gateway.DefaultSettings(), site, platform.Codec{}, platform.EngineCodec{}, gateway.Sources{
 		Configuration: platform.NewConfigurationSource(store),
 		Servers:       platform.NewServersSource(store),
 		Registry:      platform.NewMembers(store, logger),
--- a/internal/infra/httplog.go
+++ b/internal/infra/httplog.go
@@ -68,7 +68,7 @@
 		return Page{}, errors.Wrap(err, "log: read")
 	}
 	if from < page.First {
-		return Page{}, &ExpiredError{Wanted: from, First: page.First}
+		return Page{}, &ExpiredError{Requested: from, First: page.First}
 	}
 	return page, nil
 }
--- a/internal/infra/log.go
+++ b/internal/infra/log.go
@@ -34,11 +34,11 @@
 
 // ExpiredError is returned if the requested offset is no longer in the log. First is the oldest one that is.
 type ExpiredError struct {
-	Wanted uint64
-	First  uint64
+	Requested uint64
+	First     uint64
 }
 
 // Error implements error.
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("log: offset %d has expired; the oldest offset is %d", e.Wanted, e.First)
+	return fmt.Sprintf("log: offset %d has expired; the oldest offset is %d", e.Requested, e.First)
 }
--- a/internal/keeper/fakelog_test.go
+++ b/internal/keeper/fakelog_test.go
@@ -69,7 +69,7 @@
 	case fakelog.unavailable:
 		return infra.Page{}, nil, errUnavailable
 	case from < fakelog.first:
-		return infra.Page{}, nil, &infra.ExpiredError{Wanted: from, First: fakelog.first}
+		return infra.Page{}, nil, &infra.ExpiredError{Requested: from, First: fakelog.first}
 	}
 	page := infra.Page{First: fakelog.first, Next: fakelog.first + uint64(len(fakelog.entries))}
 	for offset := from; offset < page.Next; offset++ {
--- a/internal/keeper/follower.go
+++ b/internal/keeper/follower.go
@@ -55,7 +55,7 @@
 	for ctx.Err() == nil && !follower.logTruncated {
 		err := follower.read(ctx)
 		if expired, ok := asExpired(err); ok {
-			follower.logger.Info("log entries expired; restoring the state from a checkpoint", "wanted", expired.Wanted, "first", expired.First)
+			follower.logger.Info("log entries expired; restoring the state from a checkpoint", "wanted", expired.Requested, "first", expired.First)
 			err = follower.restore(ctx, expired.First)
 		}
 		if err == nil || ctx.Err() != nil {
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -15,55 +15,55 @@
 
 // Keys of a log line that are decoded into fields of Line, or dropped (the level).
 const (
-	keyTime    = "time"
-	keyLevel   = "level"
-	keyMessage = "msg"
-	keyVM      = "vm"
-	keyRequest = "request_id"
+	keyTime      = "time"
+	keyLevel     = "level"
+	keyMessage   = "msg"
+	keyVM        = "vm"
+	keyRequestID = "request_id"
 )
 
 // maxLineBytes is the maximum length of a log line. Longer lines are an error.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Line is one parsed log line.
 type Line struct {
 	// Timestamp is zero if the line has none, or a malformed one.
-	At      time.Time
-	VM      string
-	Message string
+	Timestamp time.Time
+	VM        string
+	Message   string
 	// Request is the ID of the line's request, or empty if the line does not belong to one.
 	Request string
 	// Fields has the values of all other keys, as encoding/json decodes them.
-	Rest map[string]any
+	Fields map[string]any
 }
 
 // String returns the value of a string field, or an empty string if it is missing or of another type.
-func (line Line) Text(key string) string {
-	value, _ := line.Rest[key].(string)
+func (line Line) String(key string) string {
+	value, _ := line.Fields[key].(string)
 	return value
 }
 
 // Bool returns the value of a boolean field, or false if it is missing or of another type.
-func (line Line) Flag(key string) bool {
-	value, _ := line.Rest[key].(bool)
+func (line Line) Bool(key string) bool {
+	value, _ := line.Fields[key].(bool)
 	return value
 }
 
 // Int returns the value of a numeric field as an integer, or zero if it is missing or of another type.
-func (line Line) Count(key string) int {
-	value, _ := line.Rest[key].(float64)
+func (line Line) Int(key string) int {
+	value, _ := line.Fields[key].(float64)
 	return int(value)
 }
 
 // Duration returns the value of a numeric field, in nanoseconds, or zero if it is missing or of another type.
 func (line Line) Duration(key string) time.Duration {
-	value, _ := line.Rest[key].(float64)
+	value, _ := line.Fields[key].(float64)
 	return time.Duration(value)
 }
 
 // Strings returns the strings of a list field. It is empty if the field is missing or of another type.
-func (line Line) Texts(key string) []string {
-	values, _ := line.Rest[key].([]any)
+func (line Line) Strings(key string) []string {
+	values, _ := line.Fields[key].([]any)
 	texts := make([]string, 0, len(values))
 	for _, value := range values {
 		if text, ok := value.(string); ok {
@@ -74,7 +74,7 @@
 }
 
 // ReadFiles parses the lines of all files, or of input if names is empty.
-func Files(names []string, input io.Reader) ([]Line, error) {
+func ReadFiles(names []string, input io.Reader) ([]Line, error) {
 	if len(names) == 0 {
 		return Read(input)
 	}
@@ -98,7 +98,7 @@
 func Read(input io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, text, found := strings.Cut(scanner.Text(), "{")
 		if !found {
@@ -114,13 +114,13 @@
 }
 
 func newLine(fields map[string]any) Line {
-	line := Line{Rest: fields}
-	line.At, _ = time.Parse(time.RFC3339Nano, line.Text(keyTime)) // lines without a valid time sort first
-	line.VM = line.Text(keyVM)
-	line.Message = line.Text(keyMessage)
-	line.Request = line.Text(keyRequest)
-	for _, key := range []string{keyTime, keyLevel, keyMessage, keyVM, keyRequest} {
-		delete(line.Rest, key)
+	line := Line{Fields: fields}
+	line.Timestamp, _ = time.Parse(time.RFC3339Nano, line.String(keyTime)) // lines without a valid time sort first
+	line.VM = line.String(keyVM)
+	line.Message = line.String(keyMessage)
+	line.Request = line.String(keyRequestID)
+	for _, key := range []string{keyTime, keyLevel, keyMessage, keyVM, keyRequestID} {
+		delete(line.Fields, key)
 	}
 	return line
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -45,7 +45,7 @@
 
 // New returns the report on the requests in the lines. It is an error if there are none.
 func New(lines []logread.Line) (*Report, error) {
-	requests := collect(lines)
+	requests := collectRequests(lines)
 	if len(requests) == 0 {
 		return nil, errors.New("losses: no line belongs to a request")
 	}
@@ -67,7 +67,7 @@
 	return slices.SortedFunc(maps.Keys(byGroup), compareGroups), byGroup
 }
 
-func count(requests []*Request) map[Cause]int {
+func countCauses(requests []*Request) map[Cause]int {
 	counts := make(map[Cause]int)
 	for _, request := range requests {
 		counts[request.Cause]++
@@ -89,7 +89,7 @@
 }
 
 func writeGroup(table io.Writer, group Group, requests []*Request) {
-	counts := count(requests)
+	counts := countCauses(requests)
 	for _, cause := range Causes() {
 		if counts[cause] == 0 {
 			continue
@@ -97,8 +97,8 @@
 		matching := slices.DeleteFunc(slices.Clone(requests), func(request *Request) bool { return request.Cause != cause })
 		fmt.Fprintf(table, "%v\t%s\t%d\t%.3f\t%v\t%.1f\t%.0f\t\n", group, cause, len(matching),
 			float64(len(matching))/float64(len(requests)),
-			time.Duration(mean(matching, func(request *Request) float64 { return float64(request.Excess) })).Round(time.Millisecond),
-			mean(matching, func(request *Request) float64 { return float64(request.Beside) }),
+			time.Duration(mean(matching, func(request *Request) float64 { return float64(request.TTFTExcess) })).Round(time.Millisecond),
+			mean(matching, func(request *Request) float64 { return float64(request.ConcurrentPrefills) }),
 			mean(matching, func(request *Request) float64 { return float64(request.Tokens) }))
 	}
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -34,25 +34,25 @@
 		line  string
 		cause losses.Cause
 	}{
-		"in time":             {stream(`"first":200000000,"predicted":100000000,"pause":100000000`), losses.CauseNone},
-		"inter-token latency": {stream(`"first":200000000,"predicted":100000000,"pause":260000000`), losses.CausePause},
-		"slow prefill":        {stream(`"first":400000000,"predicted":290000000`), losses.CauseRead},
-		"too few servers":     {stream(`"first":500000000,"predicted":480000000,"waited":10000000`), losses.CauseNarrow},
-		"queued":              {stream(`"first":500000000,"predicted":480000000,"waited":300000000`), losses.CauseWaited},
+		"in time":             {stream(`"first":200000000,"predicted":100000000,"pause":100000000`), losses.CauseInTime},
+		"inter-token latency": {stream(`"first":200000000,"predicted":100000000,"pause":260000000`), losses.CauseInterTokenLatency},
+		"slow prefill":        {stream(`"first":400000000,"predicted":290000000`), losses.CauseSlowPrefill},
+		"too few servers":     {stream(`"first":500000000,"predicted":480000000,"waited":10000000`), losses.CauseTooFewServers},
+		"queued":              {stream(`"first":500000000,"predicted":480000000,"waited":300000000`), losses.CauseQueued},
 		"contested":           {stream(`"first":500000000,"predicted":480000000,"waited":300000000,"taken_back":1`), losses.CauseContested},
-		"retried":             {stream(`"first":500000000,"predicted":480000000,"sends":2`), losses.CauseAgain},
-		"server failed":       {stream(`"broken":true,"reason":"server_failed"`), losses.CauseServer},
-		"caller gone":         {stream(`"broken":true,"reason":"caller_gone"`), losses.CauseLeft},
-		"no capacity":         {stream(`"status":503,"reason":"servers_busy"`), losses.CauseHeld},
-		"retry budget":        {stream(`"status":503,"reason":"servers_refused"`), losses.CauseBudget},
-		"no configuration":    {stream(`"status":503,"reason":"no_configuration"`), losses.CauseUnknown},
-		"stopping":            {stream(`"status":503,"reason":"stopping"`), losses.CauseStopping},
-		"deadline exceeded":   {stream(`"status":504,"reason":"time_over"`), losses.CauseTime},
-		"wrong key":           {stream(`"status":401,"reason":"key_unknown"`), losses.CauseRejected},
-		"plain in time":       {plain(`"status":200,"took":150000000,"sends":1`), losses.CauseNone},
-		"plain, slow server":  {plain(`"status":200,"took":150000001,"sends":1`), losses.CauseSlow},
-		"plain, retried":      {plain(`"status":200,"took":150000001,"sends":2`), losses.CauseAgain},
-		"VM killed":           {`{"time":"2026-01-01T10:00:05Z","msg":"placed","vm":"a","request_id":"r1","server":"s"}`, losses.CauseKilled},
+		"retried":             {stream(`"first":500000000,"predicted":480000000,"sends":2`), losses.CauseRetried},
+		"server failed":       {stream(`"broken":true,"reason":"server_failed"`), losses.CauseServerFailed},
+		"caller gone":         {stream(`"broken":true,"reason":"caller_gone"`), losses.CauseCallerGone},
+		"no capacity":         {stream(`"status":503,"reason":"servers_busy"`), losses.CauseNoCapacity},
+		"retry budget":        {stream(`"status":503,"reason":"servers_refused"`), losses.CauseRetryBudget},
+		"no configuration":    {stream(`"status":503,"reason":"no_configuration"`), losses.CauseNoConfiguration},
+		"stopping":            {stream(`"status":503,"reason":"stopping"`), losses.CauseVMStopping},
+		"deadline exceeded":   {stream(`"status":504,"reason":"time_over"`), losses.CauseDeadlineExceeded},
+		"wrong key":           {stream(`"status":401,"reason":"key_unknown"`), losses.CauseInvalidRequest},
+		"plain in time":       {plain(`"status":200,"took":150000000,"sends":1`), losses.CauseInTime},
+		"plain, slow server":  {plain(`"status":200,"took":150000001,"sends":1`), losses.CauseSlowServer},
+		"plain, retried":      {plain(`"status":200,"took":150000001,"sends":2`), losses.CauseRetried},
+		"VM killed":           {`{"time":"2026-01-01T10:00:05Z","msg":"placed","vm":"a","request_id":"r1","server":"s"}`, losses.CauseVMKilled},
 		"malformed time":      {strings.Replace(stream(`"first":200000000`), "2026-01-01T10:00:05Z", "soon", 1), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 func TestBound(t *testing.T) {
 	const second, short = "1000000000", "300000000"
 	// One engine with a prefill rate of 100 k tokens a second, whatever the prompt's length.
-	fleet := losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}}
+	fleet := losses.Fleet{Servers: 1, MinLongObjective: time.Second, Engine: catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}}
 	for name, test := range map[string]struct {
 		log     string
 		reached int
@@ -135,7 +135,7 @@
 			report, err := losses.New(lines)
 			assert.NilError(t, err)
 			bound := report.Bound(fleet)
-			assert.Equal(t, bound.Reached, test.reached)
+			assert.Equal(t, bound.Achievable, test.reached)
 			assert.Equal(t, bound.Served, 0)
 		})
 	}
@@ -149,5 +149,5 @@
 	report, err := losses.New(lines)
 	assert.NilError(t, err)
 	engine := catalog.Engine{Slots: 4, PrefillTokensPerSecond: 100_000}
-	assert.Equal(t, report.Bound(losses.Fleet{Servers: 1, LongFrom: time.Second, Engine: engine}).Reached, 0)
+	assert.Equal(t, report.Bound(losses.Fleet{Servers: 1, MinLongObjective: time.Second, Engine: engine}).Achievable, 0)
 }
--- a/internal/losses/request.go
+++ b/internal/losses/request.go
@@ -13,9 +13,9 @@
 
 // Messages of the log lines that are evaluated.
 const (
-	messagePlaced = "placed"
-	messageFirst  = "first event"
-	messageEnded  = "ended"
+	messagePlaced     = "placed"
+	messageFirstEvent = "first event"
+	messageEnded      = "ended"
 )
 
 // Request is one request at one VM. A caller's retry is another request.
@@ -30,38 +30,38 @@
 	Tokens    int
 	Cause     Cause
 	// Elapsed is the time from arrival to the end; zero if the VM was killed.
-	Took time.Duration
+	Elapsed time.Duration
 	// TTFTExcess is the measured minus the predicted time to first event.
-	Excess time.Duration
+	TTFTExcess time.Duration
 	// ConcurrentPrefills is the number of other prompts on its servers during its prefill.
-	Beside int
-	route  string
+	ConcurrentPrefills int
+	route              string
 	// placedAt is the time of the last placement, and firstEventAt that of the first
 	// event. servers has all servers that took part in the prefill.
-	placed, first time.Time
-	servers       []string
+	placedAt, firstEventAt time.Time
+	servers                []string
 }
 
 // collectRequests returns the requests in the lines, in the order of arrival.
-func collect(lines []logread.Line) []*Request {
+func collectRequests(lines []logread.Line) []*Request {
 	byID := make(map[string]*Request)
 	lastOfRoute := make(map[string]*Request)
-	for _, line := range sorted(lines) {
-		if line.Request == "" || line.At.IsZero() {
+	for _, line := range sortedByTime(lines) {
+		if line.Request == "" || line.Timestamp.IsZero() {
 			continue
 		}
 		request := byID[line.Request]
 		if request == nil {
-			request = &Request{ID: line.Request, Arrived: line.At, Cause: CauseKilled}
+			request = &Request{ID: line.Request, Arrived: line.Timestamp, Cause: CauseVMKilled}
 			byID[line.Request] = request
 		}
 		switch line.Message {
 		case messagePlaced:
-			request.place(line)
-		case messageFirst:
-			request.first = line.At
+			request.recordPlacement(line)
+		case messageFirstEvent:
+			request.firstEventAt = line.Timestamp
 		case messageEnded:
-			request.end(line)
+			request.recordEnd(line)
 			lastOfRoute[request.route] = request
 		}
 	}
@@ -69,7 +69,7 @@
 	for _, request := range byID {
 		// If the VM was killed, there is no last line with the kind and the objective. They are the
 		// same for all requests of a route.
-		if ended := lastOfRoute[request.route]; ended != nil && request.Cause == CauseKilled {
+		if ended := lastOfRoute[request.route]; ended != nil && request.Cause == CauseVMKilled {
 			request.Kind, request.Objective = ended.Kind, ended.Objective
 		}
 		requests = append(requests, request)
@@ -77,74 +77,74 @@
 	slices.SortFunc(requests, func(a, b *Request) int {
 		return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.ID, b.ID))
 	})
-	countBeside(requests)
+	countConcurrentPrefills(requests)
 	return requests
 }
 
-func sorted(lines []logread.Line) []logread.Line {
-	return slices.SortedStableFunc(slices.Values(lines), func(a, b logread.Line) int { return a.At.Compare(b.At) })
+func sortedByTime(lines []logread.Line) []logread.Line {
+	return slices.SortedStableFunc(slices.Values(lines), func(a, b logread.Line) int { return a.Timestamp.Compare(b.Timestamp) })
 }
 
-func (request *Request) place(line logread.Line) {
-	request.placed = line.At
-	request.route = line.Text("route")
-	request.Tokens = line.Count("tokens")
-	request.servers = append(line.Texts("helpers"), line.Text("server"))
+func (request *Request) recordPlacement(line logread.Line) {
+	request.placedAt = line.Timestamp
+	request.route = line.String("route")
+	request.Tokens = line.Int("tokens")
+	request.servers = append(line.Strings("helpers"), line.String("server"))
 }
 
-func (request *Request) end(line logread.Line) {
-	request.Took = line.Duration("took")
-	request.Arrived = line.At.Add(-request.Took)
-	request.route = line.Text("route")
-	request.Kind = catalog.Kind(line.Text("kind"))
+func (request *Request) recordEnd(line logread.Line) {
+	request.Elapsed = line.Duration("took")
+	request.Arrived = line.Timestamp.Add(-request.Elapsed)
+	request.route = line.String("route")
+	request.Kind = catalog.Kind(line.String("kind"))
 	request.Objective = line.Duration("objective")
-	request.Tokens = line.Count("tokens")
+	request.Tokens = line.Int("tokens")
 	request.Cause = causeOf(line)
 	if first := line.Duration("first"); first > 0 {
-		request.Excess = first - line.Duration("predicted")
+		request.TTFTExcess = first - line.Duration("predicted")
 	}
 }
 
 // causeOf returns the cause for the last line of a request.
 func causeOf(line logread.Line) Cause {
-	status := line.Count("status")
-	switch gateway.Reason(line.Text("reason")) {
+	status := line.Int("status")
+	switch gateway.Reason(line.String("reason")) {
 	case gateway.ReasonCallerGone:
-		return CauseLeft
+		return CauseCallerGone
 	case gateway.ReasonStopping:
-		return CauseStopping
+		return CauseVMStopping
 	case gateway.ReasonDeadlineExceeded:
-		return CauseTime
+		return CauseDeadlineExceeded
 	case gateway.ReasonServersBusy:
-		return CauseHeld
+		return CauseNoCapacity
 	case gateway.ReasonServersRefused:
-		return CauseBudget
+		return CauseRetryBudget
 	case gateway.ReasonNoConfiguration, gateway.ReasonStaleConfiguration:
-		return CauseUnknown
+		return CauseNoConfiguration
 	case gateway.ReasonServerFailed:
-		return CauseServer
+		return CauseServerFailed
 	}
 	switch {
 	case status/100 == 4:
-		return CauseRejected
-	case status != http.StatusOK || line.Flag("broken"):
-		return CauseServer
-	case line.Text("kind") != string(catalog.KindStream):
-		return plainCause(line)
+		return CauseInvalidRequest
+	case status != http.StatusOK || line.Bool("broken"):
+		return CauseServerFailed
+	case line.String("kind") != string(catalog.KindStream):
+		return bufferedCause(line)
 	default:
 		return streamCause(line)
 	}
 }
 
 // bufferedCause returns the cause for a response that is not a stream, and is complete.
-func plainCause(line logread.Line) Cause {
+func bufferedCause(line logread.Line) Cause {
 	switch {
 	case line.Duration("took") <= line.Duration("objective"):
-		return CauseNone
-	case line.Count("sends") > 1:
-		return CauseAgain
+		return CauseInTime
+	case line.Int("sends") > 1:
+		return CauseRetried
 	default:
-		return CauseSlow
+		return CauseSlowServer
 	}
 }
 
@@ -154,25 +154,25 @@
 	waited, predicted := line.Duration("waited"), line.Duration("predicted")
 	switch {
 	case line.Duration("first") <= objective && (gap == 0 || line.Duration("pause") <= gap):
-		return CauseNone
+		return CauseInTime
 	case line.Duration("first") <= objective:
-		return CausePause
-	case line.Count("sends") > 1:
-		return CauseAgain
+		return CauseInterTokenLatency
+	case line.Int("sends") > 1:
+		return CauseRetried
 	case predicted <= objective:
-		return CauseRead
+		return CauseSlowPrefill
 	case predicted-waited > objective:
-		return CauseNarrow
-	case line.Count("taken_back") > 0:
+		return CauseTooFewServers
+	case line.Int("taken_back") > 0:
 		return CauseContested
 	default:
-		return CauseWaited
+		return CauseQueued
 	}
 }
 
 // countConcurrentPrefills sets Request.ConcurrentPrefills of all requests: the
 // number of others on at least one of the same servers during the prefill.
-func countBeside(requests []*Request) {
+func countConcurrentPrefills(requests []*Request) {
 	byServer := make(map[string][]*Request)
 	for _, request := range requests {
 		for _, server := range request.servers {
@@ -183,11 +183,11 @@
 		concurrent := make(map[*Request]bool)
 		for _, server := range request.servers {
 			for _, other := range byServer[server] {
-				if other != request && other.placed.Before(request.first) && other.first.After(request.placed) {
+				if other != request && other.placedAt.Before(request.firstEventAt) && other.firstEventAt.After(request.placedAt) {
 					concurrent[other] = true
 				}
 			}
 		}
-		request.Beside = len(concurrent)
+		request.ConcurrentPrefills = len(concurrent)
 	}
 }
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -118,7 +118,7 @@
 		go func() { _ = server.Serve(listener) }()
 	}
 	client := upstream.New(upstream.DefaultSettings(), network, noopListener{}, time.Now)
-	manager := reservation.New(lifetime, reservation.DefaultSettings(), platform.Orders{}, client, slog.New(slog.DiscardHandler), time.Now)
+	manager := reservation.New(lifetime, reservation.DefaultSettings(), platform.EngineCodec{}, client, slog.New(slog.DiscardHandler), time.Now)
 	return manager, engines, claims, func() {
 		end()
 		time.Sleep(time.Minute) // idle connections expire and late commands are executed
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -148,11 +148,11 @@
 	case "required":
 		return "must be set"
 	case "min", "gte":
-		return fmt.Sprintf("must be at least %s%s, is %v", field.Param(), unit(value), value)
+		return fmt.Sprintf("must be at least %s%s, is %v", field.Param(), lengthUnit(value), value)
 	case "max", "lte":
-		return fmt.Sprintf("must be at most %s%s, is %v", field.Param(), unit(value), value)
+		return fmt.Sprintf("must be at most %s%s, is %v", field.Param(), lengthUnit(value), value)
 	case "gtefield":
-		return fmt.Sprintf("must be at least %s, is %v", fileName(field.Param()), value)
+		return fmt.Sprintf("must be at least %s, is %v", settingKey(field.Param()), value)
 	case "oneof":
 		return fmt.Sprintf("must be one of %s, is %q", field.Param(), value)
 	case "hostname_port", "ip", "url", "http_url":
@@ -164,7 +164,7 @@
 
 // settingKey returns the YAML key of a Go field, such as pack_slots for
 // PackSlots.
-func fileName(field string) string {
+func settingKey(field string) string {
 	key := &strings.Builder{}
 	for i, letter := range field {
 		if unicode.IsUpper(letter) && i > 0 {
@@ -176,7 +176,7 @@
 }
 
 // lengthUnit returns what a minimum or maximum of the value counts, with a leading space. It is empty for numbers.
-func unit(value any) string {
+func lengthUnit(value any) string {
 	switch value.(type) {
 	case time.Duration, float64:
 		return ""
