--- /dev/null
+++ b/internal/soak/arrivals.go
@@ -0,0 +1,106 @@
+package soak
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
+)
+
+// The platform's bounds on the requests that may reach a server which requested backoff.
+const (
+	// backoffNotice is how long after the refusal the backoff must be observed.
+	restNotice = 500 * time.Millisecond
+	// maxBackoffSends is how many requests of the VM may reach the server from then on until the backoff ends.
+	restSends = 2
+)
+
+// vmServer identifies a VM and a server.
+type pair struct {
+	vm, instance string
+}
+
+// arrivalOutcome is a request that reached a server, with its caller's outcome.
+type arrived struct {
+	platformserver.Arrival
+
+	outcome Outcome
+}
+
+// arrivalsByPair returns the requests that reached each server from each VM, ordered by time of arrival.
+func (observations *evidence) byPair() map[pair][]arrived {
+	outcomes := make(map[string]Outcome, len(observations.outcomes))
+	for _, outcome := range observations.outcomes {
+		outcomes[outcome.ID] = outcome
+	}
+	pairs := make(map[pair][]arrived)
+	for _, arrival := range observations.arrivals {
+		outcome, known := outcomes[arrival.ID]
+		if !known {
+			continue
+		}
+		key := pair{vm: outcome.VM, instance: arrival.Instance}
+		pairs[key] = append(pairs[key], arrived{Arrival: arrival, outcome: outcome})
+	}
+	for _, arrivals := range pairs {
+		slices.SortFunc(arrivals, func(a, b arrived) int { return a.At.Compare(b.At) })
+	}
+	return pairs
+}
+
+// checkDrainingResponses reports requests that a VM sent to a server after it had relayed a response in which the server
+// advertised that it drains. Only a stop or pause of the VM's process excuses one.
+func (observations *evidence) checkSaid(pairs map[pair][]arrived, add addFunc) {
+	for pair, arrivals := range pairs {
+		for _, first := range arrivals {
+			relayed := first.outcome.answered() && first.outcome.Seal == pair.instance
+			if !first.Leaving || !relayed {
+				continue
+			}
+			relayedAt := first.outcome.Ended
+			for _, later := range arrivals {
+				late := later.outcome.Sent.Sub(relayedAt)
+				if late > boundDrain && !observations.paused(pair.vm, relayedAt, later.At) {
+					add(PromiseSaid, "%s reached %s from %s, sent %s after the server advertised draining", later.ID, pair.instance, pair.vm, late)
+				}
+			}
+			break
+		}
+	}
+}
+
+// checkBackoffs reports requests that reached a server during the backoff that it had requested of the VM.
+func (observations *evidence) checkRests(pairs map[pair][]arrived, add addFunc) {
+	for pair, arrivals := range pairs {
+		for _, refused := range arrivals {
+			from, to := refused.At.Add(restNotice), refused.At.Add(refused.Rest)
+			count := 0
+			for _, later := range arrivals {
+				if later.At.After(from) && later.At.Before(to) {
+					count++
+				}
+			}
+			if count > restSends && !observations.paused(pair.vm, refused.At, to) && !observations.linkStruck(refused.At, to) {
+				add(PromiseRest, "%d requests reached %s from %s in a backoff of %s", count, pair.instance, pair.vm, refused.Rest)
+			}
+		}
+	}
+}
+
+// interrupted reports whether a VM's process ended, started or was suspended in a span.
+func (observations *evidence) paused(vm string, from, to time.Time) bool {
+	if observations.down(vm, from, to) || observations.life(vm, from) != observations.life(vm, to) {
+		return true
+	}
+	return slices.ContainsFunc(observations.log.between(from, to), func(span span) bool {
+		return span.kind == KindVMPause && span.vm == vm
+	})
+}
+
+// linkFaulty reports whether a link fault was active in a span or up to backoffNotice before it.
+func (observations *evidence) linkStruck(from, to time.Time) bool {
+	return slices.ContainsFunc(observations.log.between(from.Add(-restNotice), to), func(span span) bool {
+		return strings.HasPrefix(string(span.kind), "link_")
+	})
+}
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -16,68 +16,68 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// Outcome is what a caller saw of one request.
+// Outcome is what a caller observed of one request.
 type Outcome struct {
 	ID    string
 	Route string
-	// VM is the name of the one that was asked.
+	// VM is the name of the VM that the request was sent to.
 	VM     string
 	Key    string
 	Sent   time.Time
 	Ended  time.Time
 	Status int
-	// Seal names the server that the answer came from.
+	// Seal is the Response-Seal header: the server that the response came from.
 	Seal string
-	// RetryAfter is when a refused caller may return.
+	// RetryAfter is the delay from the Retry-After header, or zero.
 	RetryAfter time.Duration
-	// Whole says that the answer ended as HTTP says it must.
+	// Complete reports whether the response body ended properly by HTTP framing.
 	Whole bool
 	Body  string
-	// Want is the body of a whole answer.
+	// WantBody is the body of a complete response.
 	Want string
 	Err  string
 }
 
-// answered reports whether the caller got a success, whole.
+// succeeded reports whether the caller got a complete response with status 200.
 func (outcome Outcome) answered() bool {
 	return outcome.Whole && outcome.Status == http.StatusOK
 }
 
-// Shape of a caller's requests.
+// Parameters of the callers' requests.
 const (
 	shortTokens = 2000
 	shortOut    = 430
 	longOut     = 200
-	// longMin and longMax bound long prompts; the longest need several engines.
+	// minLongTokens and maxLongTokens bound long prompts; the longest need several engines.
 	longMin = 40_000
 	longMax = 260_000
-	// thinkTime is the longest pause between requests.
+	// maxThinkTime bounds the random pause between requests.
 	thinkTime = 60 * time.Millisecond
-	// patience is how long a caller waits beyond the route's time.
+	// callerMargin is how long a caller waits beyond the route's timeout.
 	patience = 6 * time.Second
 )
 
-// caller sends requests one after the other, over connections that it keeps.
+// caller sends requests sequentially over keep-alive connections.
 type caller struct {
 	world  *world
 	random *rand.Rand
 	client *http.Client
 }
 
-func newCaller(world *world, number int) *caller {
-	seed := world.settings.Seed*1000 + uint64(number) //nolint:gosec // a small count
+func newCaller(environment *world, number int) *caller {
+	seed := environment.settings.Seed*1000 + uint64(number) //nolint:gosec // small non-negative number
 	return &caller{
-		world: world, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // no secret
+		world: environment, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // not security-sensitive
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
-			// Connections are kept until the VM closes them.
+			// Idle connections stay open until the VM closes them.
 			MaxIdleConnsPerHost: 4,
 			DisableCompression:  true,
 		}},
 	}
 }
 
-// run sends requests until ctx is done, and returns what became of them.
+// run sends requests until ctx is done and returns their outcomes.
 func (caller *caller) run(ctx context.Context) []Outcome {
 	defer caller.client.CloseIdleConnections()
 	var outcomes []Outcome
@@ -89,7 +89,7 @@
 	return outcomes
 }
 
-// request is one request as it will be sent.
+// request is a prepared request and the outcome to fill in.
 type request struct {
 	outcome Outcome
 	method  string
@@ -97,33 +97,33 @@
 	header  map[string]string
 }
 
-// draw draws the next request.
+// nextRequest returns the next random request.
 func (caller *caller) draw() request {
 	vm := caller.world.vms[caller.random.IntN(len(caller.world.vms))]
 	id := fmt.Sprintf("%016x", caller.random.Uint64())
-	drawn := newRequest(vm, id, caller.world.operator.someKey(caller.random.IntN(1<<16)))
+	next := newRequest(vm, id, caller.world.operator.someKey(caller.random.IntN(1<<16)))
 	switch route := caller.random.IntN(100); {
 	case route < 40:
-		drawn.stream(routeStream, shortTokens, shortOut)
+		next.stream(routeStream, shortTokens, shortOut)
 	case route < 48:
-		drawn.stream(routeLong, longMin+caller.random.IntN(longMax-longMin), longOut)
+		next.stream(routeLong, longMin+caller.random.IntN(longMax-longMin), longOut)
 	case route < 58:
-		drawn.stream(routeOnce, shortTokens, shortOut)
+		next.stream(routeOnce, shortTokens, shortOut)
 	case route < 75:
-		drawn.plain(http.MethodGet, routeSafe)
+		next.plain(http.MethodGet, routeSafe)
 	case route < 95:
-		drawn.plain(http.MethodPost, routeUnsafe)
+		next.plain(http.MethodPost, routeUnsafe)
 	default:
 		name := caller.world.operator.newestRoute()
 		if name == "" {
 			name = routeSafe
 		}
-		drawn.plain(http.MethodGet, name)
+		next.plain(http.MethodGet, name)
 	}
-	return drawn
+	return next
 }
 
-// newRequest returns a request to a VM, of which the route is to be said.
+// newRequest returns a request to a VM; the route is set by setStream or setPlain.
 func newRequest(vm *vm, id, key string) request {
 	return request{
 		outcome: Outcome{ID: id, VM: vm.name, Key: key}, method: http.MethodPost, address: vm.front.address(),
@@ -151,7 +151,7 @@
 	request.outcome.Want = platformserver.PlainBody(request.outcome.ID)
 }
 
-// target is the path and query of a request, which servers must see unchanged.
+// target is the path and query of a request, which servers must receive unchanged.
 func target(outcome Outcome) string {
 	if strings.HasPrefix(outcome.ID, harmfulID) {
 		return "/" + outcome.Route + "/" + harmfulID
@@ -159,12 +159,12 @@
 	return "/" + outcome.Route + "/x%2Fy?id=" + outcome.ID
 }
 
-// payload is the body of a request that has one.
+// payload is the body of a POST request, except of one that crashes servers.
 func payload(id string) string {
 	return "payload of " + id
 }
 
-// bodyOf returns the body of the request with that ID.
+// bodyOf returns the body of the POST request with that ID.
 func bodyOf(id string) string {
 	if strings.HasPrefix(id, harmfulID) {
 		return harmfulBody
@@ -172,7 +172,7 @@
 	return payload(id)
 }
 
-// ask sends one request and reads the answer.
+// send sends one request and reads the whole response.
 func (caller *caller) ask(request request) Outcome {
 	outcome := request.outcome
 	ctx, cancel := context.WithTimeout(context.Background(), timeout+patience)
@@ -181,27 +181,27 @@
 	if request.method == http.MethodPost {
 		body = strings.NewReader(bodyOf(outcome.ID))
 	}
-	sent, err := http.NewRequestWithContext(ctx, request.method, "http://"+request.address+target(outcome), body)
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, "http://"+request.address+target(outcome), body)
 	if err != nil {
-		panic(err) // the address is ours
+		panic(err) // the address is valid by construction
 	}
-	sent.Host = host
+	httpRequest.Host = host
 	for name, value := range request.header {
-		sent.Header.Set(name, value)
+		httpRequest.Header.Set(name, value)
 	}
 	outcome.Sent = time.Now()
-	response, err := caller.client.Do(sent)
+	response, err := caller.client.Do(httpRequest)
 	if err != nil {
 		outcome.Ended, outcome.Err = time.Now(), err.Error()
 		return outcome
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // the body was read to its end or failed
 	outcome.Status, outcome.Seal = response.StatusCode, response.Header.Get("Response-Seal")
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
 		outcome.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	read, err := io.ReadAll(bufio.NewReader(response.Body))
-	outcome.Ended, outcome.Body, outcome.Whole = time.Now(), string(read), err == nil
+	content, err := io.ReadAll(bufio.NewReader(response.Body))
+	outcome.Ended, outcome.Body, outcome.Whole = time.Now(), string(content), err == nil
 	if err != nil {
 		outcome.Err = err.Error()
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -10,10 +10,10 @@
 	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
 )
 
-// Promise names what is checked.
+// Invariant describes a property that must hold in every run.
 type Promise string
 
-// Promises.
+// Invariants that are checked.
 const (
 	PromiseOnce      Promise = "runs at most once where it may not run again"
 	PromiseNotRun    Promise = "what was refused never runs"
@@ -35,127 +35,127 @@
 	PromiseRecovered Promise = "the system serves again when faults are over"
 )
 
-// Violation is a promise that was broken.
+// Violation is one observed breach of an invariant.
 type Violation struct {
 	Promise Promise
 	What    string
 }
 
-// Slack of checks, beyond the bounds: what a loaded machine adds.
+// Slack of checks beyond the bounds, for the delays of a loaded machine.
 const (
 	slackTime    = time.Second
 	slackLeaving = time.Second
-	// slackEnd is how long before the route's time a request may be ended.
+	// slackDeadline is how long before the route's timeout a request may be aborted.
 	slackEnd = 100 * time.Millisecond
-	// servedAgain is the part of requests that must succeed once all is calm.
+	// minRecoveredFraction is the fraction of requests that must succeed after all faults have ended.
 	servedAgain = 0.9
-	// fewest is how many requests say something about that.
+	// minRecoveredRequests is the smallest number of requests for which that fraction is checked.
 	fewest = 20
 )
 
-// evidence is all that was seen in a run.
+// observations are everything recorded in a run.
 type evidence struct {
 	outcomes []Outcome
-	// harmful has those of callers who asked for what crashes servers.
+	// crashing holds the outcomes of requests that crash servers.
 	harmful  []Outcome
 	runs     map[string][]platformserver.Run
 	arrivals []platformserver.Arrival
 	log      *faultLog
 	operator *operator
-	// life returns which life of a VM's process a time falls into.
+	// incarnation returns the number of process starts of a VM up to a time.
 	life func(vm string, at time.Time) int
-	// down reports whether a VM's process was away at any time in a span.
+	// down reports whether a VM's process was not running at any time in a span.
 	down func(vm string, from, to time.Time) bool
-	// calm is from when on no fault is at work.
+	// faultFreeFrom is when the last fault had ended and VMs had to have recovered.
 	calm time.Time
 }
 
-// check returns what was broken.
-func (evidence *evidence) check() []Violation {
+// check returns all violations.
+func (observations *evidence) check() []Violation {
 	var violations []Violation
-	add := func(promise Promise, format string, args ...any) {
-		violations = append(violations, Violation{Promise: promise, What: fmt.Sprintf(format, args...)})
+	add := func(invariant Promise, format string, args ...any) {
+		violations = append(violations, Violation{Promise: invariant, What: fmt.Sprintf(format, args...)})
 	}
-	known := make(map[string]bool, len(evidence.outcomes))
-	for _, outcome := range evidence.outcomes {
-		known[outcome.ID] = true
-		evidence.checkOutcome(outcome, add)
-		evidence.checkRuns(outcome, add)
+	sentIDs := make(map[string]bool, len(observations.outcomes))
+	for _, outcome := range observations.outcomes {
+		sentIDs[outcome.ID] = true
+		observations.checkOutcome(outcome, add)
+		observations.checkRuns(outcome, add)
 	}
-	for _, outcome := range evidence.harmful {
-		known[outcome.ID] = true
+	for _, outcome := range observations.harmful {
+		sentIDs[outcome.ID] = true
 	}
-	for id := range evidence.runs {
-		if !known[id] {
-			add(PromiseUnaltered, "a server ran %q, which nobody sent", id)
+	for id := range observations.runs {
+		if !sentIDs[id] {
+			add(PromiseUnaltered, "a server ran %q, which no caller sent", id)
 		}
 	}
-	evidence.checkLeaving(add)
-	evidence.checkBad(add)
-	evidence.checkEvacuated(add)
-	pairs := evidence.byPair()
-	evidence.checkSaid(pairs, add)
-	evidence.checkRests(pairs, add)
-	evidence.checkLimits(pairs, add)
-	evidence.checkForward(add)
-	evidence.checkHarmful(add)
-	evidence.checkRecovered(add)
+	observations.checkLeaving(add)
+	observations.checkBad(add)
+	observations.checkEvacuated(add)
+	pairs := observations.byPair()
+	observations.checkSaid(pairs, add)
+	observations.checkRests(pairs, add)
+	observations.checkLimits(pairs, add)
+	observations.checkForward(add)
+	observations.checkHarmful(add)
+	observations.checkRecovered(add)
 	return violations
 }
 
-type addFunc func(promise Promise, format string, args ...any)
+type addFunc func(invariant Promise, format string, args ...any)
 
-// promisesNotRun reports whether a status says that the request did not run.
+// impliesNotRun reports whether a status guarantees to the caller that the request did not run.
 func promisesNotRun(status int) bool {
 	return slices.Contains([]int{
 		http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	}, status)
 }
 
-func (evidence *evidence) checkOutcome(outcome Outcome, add addFunc) {
+func (observations *evidence) checkOutcome(outcome Outcome, add addFunc) {
 	describe := fmt.Sprintf("%s on %s at %s, status %d", outcome.ID, outcome.Route, outcome.VM, outcome.Status)
 	if outcome.answered() && (outcome.Body != outcome.Want || outcome.Seal == "") {
 		add(PromiseWhole, "%s: %d bytes of %d, seal %q", describe, len(outcome.Body), len(outcome.Want), outcome.Seal)
 	}
 	if outcome.Status == http.StatusOK && !strings.HasPrefix(outcome.Want, outcome.Body) {
-		add(PromiseWhole, "%s: bytes that are not the answer's", describe)
+		add(PromiseWhole, "%s: the body is not a prefix of the expected response", describe)
 	}
 	if outcome.denied() {
 		add(PromiseDenied, "%s", describe)
 	}
-	took := outcome.Ended.Sub(outcome.Sent)
-	if took > timeout+slackTime && !evidence.struck(outcome, 0) {
-		add(PromiseTime, "%s: %s", describe, took)
+	elapsed := outcome.Ended.Sub(outcome.Sent)
+	if elapsed > timeout+slackTime && !observations.struck(outcome, 0) {
+		add(PromiseTime, "%s: %s", describe, elapsed)
 	}
-	if outcome.Err != "" && took < timeout-slackEnd && !evidence.excused(outcome) {
-		add(PromiseLost, "%s: after %s: %s", describe, took, outcome.Err)
+	if outcome.Err != "" && elapsed < timeout-slackEnd && !observations.excused(outcome) {
+		add(PromiseLost, "%s: failed after %s: %s", describe, elapsed, outcome.Err)
 	}
 }
 
-// denied reports whether a request that every configuration allows was refused as
-// wrong.
+// wronglyRejected reports whether a request that every configuration version allows was
+// rejected as invalid.
 func (outcome Outcome) denied() bool {
 	wrong := outcome.Status >= http.StatusMultipleChoices && outcome.Status < http.StatusInternalServerError &&
 		!promisesNotRun(outcome.Status)
 	return wrong && !strings.HasPrefix(outcome.Route, "v") && outcome.Key == permanentKey
 }
 
-// excused reports whether a request may have been cut: a fault was at work, or
-// nobody was there to read it.
-func (evidence *evidence) excused(outcome Outcome) bool {
-	return evidence.unread(outcome) || evidence.struck(outcome, boundContact)
+// mayFail reports whether a request may have failed: a fault was active, or the VM's
+// process was not running.
+func (observations *evidence) excused(outcome Outcome) bool {
+	return observations.unread(outcome) || observations.struck(outcome, boundContact)
 }
 
-// unread reports whether a request came when nobody was there to read it: between
-// the planned end of a process and its new start the balancer sends none.
-func (evidence *evidence) unread(outcome Outcome) bool {
-	return outcome.Status == 0 && len(evidence.runs[outcome.ID]) == 0 && evidence.down(outcome.VM, outcome.Sent, outcome.Ended)
+// sentWhileDown reports whether a request was sent while the VM's process was not running.
+// A load balancer sends none between the planned stop of a process and its restart.
+func (observations *evidence) unread(outcome Outcome) bool {
+	return outcome.Status == 0 && len(observations.runs[outcome.ID]) == 0 && observations.down(outcome.VM, outcome.Sent, outcome.Ended)
 }
 
-// struck reports whether a fault that excuses an outcome was at work while it was
-// under way, or that long before.
-func (evidence *evidence) struck(outcome Outcome, before time.Duration) bool {
-	for _, span := range evidence.log.between(outcome.Sent.Add(-before), outcome.Ended) {
+// affectedByFault reports whether an unplanned fault that affects the outcome's VM was active
+// while the request was in flight or within a time before it.
+func (observations *evidence) struck(outcome Outcome, before time.Duration) bool {
+	for _, span := range observations.log.between(outcome.Sent.Add(-before), outcome.Ended) {
 		if !span.kind.planned() && (span.vm == "" || span.vm == outcome.VM) {
 			return true
 		}
@@ -163,108 +163,109 @@
 	return false
 }
 
-func (evidence *evidence) checkRuns(outcome Outcome, add addFunc) {
-	runs := evidence.runs[outcome.ID]
-	once := outcome.Route == routeOnce || outcome.Route == routeUnsafe
-	if once && len(runs) > 1 {
+func (observations *evidence) checkRuns(outcome Outcome, add addFunc) {
+	runs := observations.runs[outcome.ID]
+	atMostOnce := outcome.Route == routeOnce || outcome.Route == routeUnsafe
+	if atMostOnce && len(runs) > 1 {
 		add(PromiseOnce, "%s on %s ran %d times", outcome.ID, outcome.Route, len(runs))
 	}
 	if promisesNotRun(outcome.Status) && len(runs) > 0 {
 		add(PromiseNotRun, "%s on %s got %d and ran at %s", outcome.ID, outcome.Route, outcome.Status, runs[0].Instance)
 	}
-	revoked := evidence.operator.revokedAt(outcome.Key)
+	revoked := observations.operator.revokedAt(outcome.Key)
 	for _, run := range runs {
 		if run.KeySeen || run.Organisation != organisation || run.Target != target(outcome) ||
 			(run.Body != "" && run.Body != payload(outcome.ID)) {
 			add(PromiseUnaltered, "%s: %+v", outcome.ID, run)
 		}
 		if !revoked.IsZero() && outcome.Sent.After(revoked.Add(boundRevoke)) {
-			add(PromiseRevoked, "%s with %s, taken away %s before", outcome.ID, outcome.Key, outcome.Sent.Sub(revoked))
+			add(PromiseRevoked, "%s with %s, revoked %s before it was sent", outcome.ID, outcome.Key, outcome.Sent.Sub(revoked))
 		}
 	}
 }
 
-// checkLeaving looks at what reached servers that left while everybody could know. A request that came before may begin
-// to run long after, behind others at its server.
-func (evidence *evidence) checkLeaving(add addFunc) {
-	leavings := evidence.operator.leavings()
-	for _, arrival := range evidence.arrivals {
-		left, leaves := leavings[arrival.Instance]
-		until := left.Add(boundDrain + slackLeaving)
-		if leaves && arrival.At.After(until) && !evidence.disturbed(left.Add(-boundContact), until) {
-			add(PromiseLeaving, "%s reached %s %s after it left", arrival.ID, arrival.Instance, arrival.At.Sub(left))
+// checkDraining reports requests that reached a draining server although every VM could read of the drain. It goes by
+// arrival: a request that arrived before the drain may start to run long after, queued behind others at its server.
+func (observations *evidence) checkLeaving(add addFunc) {
+	drainStarts := observations.operator.leavings()
+	for _, arrival := range observations.arrivals {
+		since, draining := drainStarts[arrival.Instance]
+		deadline := since.Add(boundDrain + slackLeaving)
+		if draining && arrival.At.After(deadline) && !observations.disturbed(since.Add(-boundContact), deadline) {
+			add(PromiseLeaving, "%s reached %s %s after it began to drain", arrival.ID, arrival.Instance, arrival.At.Sub(since))
 		}
 	}
 }
 
-// checkBad looks at servers whose entries were spoilt while everybody could know.
-func (evidence *evidence) checkBad(add addFunc) {
-	for _, arrival := range evidence.arrivals {
-		for _, spoilt := range evidence.operator.spoilt[arrival.Instance] {
-			known := spoilt.from.Add(boundDrain + slackLeaving)
-			if arrival.At.After(known) && arrival.At.Before(spoilt.to) && !evidence.disturbed(spoilt.from.Add(-boundContact), arrival.At) {
-				add(PromiseBad, "%s reached %s %s after its entry was spoilt", arrival.ID, arrival.Instance, arrival.At.Sub(spoilt.from))
+// checkMalformedEntries reports requests that reached a server while its entry was malformed, although every VM could read that.
+func (observations *evidence) checkBad(add addFunc) {
+	for _, arrival := range observations.arrivals {
+		for _, corruption := range observations.operator.spoilt[arrival.Instance] {
+			deadline := corruption.from.Add(boundDrain + slackLeaving)
+			if arrival.At.After(deadline) && arrival.At.Before(corruption.to) && !observations.disturbed(corruption.from.Add(-boundContact), arrival.At) {
+				add(PromiseBad, "%s reached %s %s after its entry became malformed", arrival.ID, arrival.Instance, arrival.At.Sub(corruption.from))
 			}
 		}
 	}
 }
 
-// checkEvacuated looks at what reached servers of evacuated data centres while everybody could know.
-func (evidence *evidence) checkEvacuated(add addFunc) {
-	for _, evacuated := range evidence.operator.evacuations() {
-		known := evacuated.from.Add(boundEvacuate + slackLeaving)
-		if evidence.disturbed(evacuated.from.Add(-boundContact), evacuated.to) {
+// checkEvacuated reports requests that reached servers of an evacuated data centre although every VM could read of the
+// evacuation.
+func (observations *evidence) checkEvacuated(add addFunc) {
+	for _, evacuation := range observations.operator.evacuations() {
+		deadline := evacuation.from.Add(boundEvacuate + slackLeaving)
+		if observations.disturbed(evacuation.from.Add(-boundContact), evacuation.to) {
 			continue
 		}
-		for _, arrival := range evidence.arrivals {
-			there := evidence.operator.dataCentreOf(arrival.Instance) == evacuated.dataCentre
-			if there && arrival.At.After(known) && arrival.At.Before(evacuated.to) {
-				add(PromiseEvacuated, "%s reached %s %s after %s was to be evacuated",
-					arrival.ID, arrival.Instance, arrival.At.Sub(evacuated.from), evacuated.dataCentre)
+		for _, arrival := range observations.arrivals {
+			inside := observations.operator.dataCentreOf(arrival.Instance) == evacuation.dataCentre
+			if inside && arrival.At.After(deadline) && arrival.At.Before(evacuation.to) {
+				add(PromiseEvacuated, "%s reached %s %s after the evacuation of %s began",
+					arrival.ID, arrival.Instance, arrival.At.Sub(evacuation.from), evacuation.dataCentre)
 			}
 		}
 	}
 }
 
-// disturbed reports whether a VM or the store was struck in a span.
-func (evidence *evidence) disturbed(from, to time.Time) bool {
-	return slices.ContainsFunc(evidence.log.between(from, to), func(span span) bool {
+// boundsSuspended reports whether a fault of a VM or the store was active in a span, so that time bounds do not apply.
+func (observations *evidence) disturbed(from, to time.Time) bool {
+	return slices.ContainsFunc(observations.log.between(from, to), func(span span) bool {
 		return span.kind.disturbs()
 	})
 }
 
-// checkForward looks for routes that a VM served, and did not know later in the
-// same life.
-func (evidence *evidence) checkForward(add addFunc) {
-	type place struct {
+// checkMonotonicConfiguration reports routes that a VM served and later answered with status 404 in
+// the same incarnation.
+func (observations *evidence) checkForward(add addFunc) {
+	type servedRoute struct {
 		vm    string
 		life  int
 		route string
 	}
-	served := make(map[place]time.Time)
-	placeOf := func(outcome Outcome) place {
-		return place{vm: outcome.VM, life: evidence.life(outcome.VM, outcome.Sent), route: outcome.Route}
+	served := make(map[servedRoute]time.Time)
+	keyOf := func(outcome Outcome) servedRoute {
+		return servedRoute{vm: outcome.VM, life: observations.life(outcome.VM, outcome.Sent), route: outcome.Route}
 	}
-	for _, outcome := range evidence.outcomes {
-		at := placeOf(outcome)
-		sameLife := evidence.life(outcome.VM, outcome.Ended) == at.life
-		if first, ok := served[at]; sameLife && outcome.answered() && (!ok || outcome.Ended.Before(first)) {
+	for _, outcome := range observations.outcomes {
+		at := keyOf(outcome)
+		sameIncarnation := observations.life(outcome.VM, outcome.Ended) == at.life
+		if first, ok := served[at]; sameIncarnation && outcome.answered() && (!ok || outcome.Ended.Before(first)) {
 			served[at] = outcome.Ended
 		}
 	}
-	for _, outcome := range evidence.outcomes {
-		first, ok := served[placeOf(outcome)]
+	for _, outcome := range observations.outcomes {
+		first, ok := served[keyOf(outcome)]
 		if ok && outcome.Status == http.StatusNotFound && outcome.Sent.After(first) {
-			add(PromiseForward, "%s does not know %s, which it served %s before", outcome.VM, outcome.Route, outcome.Sent.Sub(first))
+			add(PromiseForward, "%s answered 404 for %s, which it served %s before", outcome.VM, outcome.Route, outcome.Sent.Sub(first))
 		}
 	}
 }
 
-// checkRecovered looks at the time without faults at the end.
-func (evidence *evidence) checkRecovered(add addFunc) {
+// checkRecovered reports when too few requests succeeded in the fault-free time at the end.
+func (observations *evidence) checkRecovered(add addFunc) {
 	sent, served := 0, 0
-	for _, outcome := range evidence.outcomes {
-		if outcome.Sent.After(evidence.calm) && outcome.Key == permanentKey {
+	for _, outcome := range observations.outcomes {
+		if outcome.Sent.After(observations.calm) && outcome.Key == permanentKey {
 			sent++
 			if outcome.answered() {
 				served++
@@ -272,6 +273,6 @@
 		}
 	}
 	if sent >= fewest && float64(served) < servedAgain*float64(sent) {
-		add(PromiseRecovered, "%d of %d served in the calm time at the end", served, sent)
+		add(PromiseRecovered, "%d of %d succeeded in the fault-free time at the end", served, sent)
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
 )
 
-// start is when the made-up runs begin.
+// runStart is when the constructed runs begin.
 func start() time.Time {
 	return time.Unix(1000, 0)
 }
@@ -21,7 +21,7 @@
 	return start().Add(duration)
 }
 
-// served returns an outcome that breaks nothing, and its run.
+// served returns a successful outcome that violates nothing, and its run at the server.
 func served(id, route string) (Outcome, platformserver.Run) {
 	outcome := Outcome{
 		ID: id, Route: route, VM: "vm-0", Key: permanentKey, Sent: at(time.Second), Ended: at(2 * time.Second),
@@ -33,197 +33,198 @@
 	return outcome, run
 }
 
-// TestCheck breaks each promise on purpose.
+// TestCheck breaks each invariant on purpose, beside cases that only come close. A check that reports nothing, or reports
+// permitted behaviour, would make the soak worthless. Cases differ from a successful run by their change.
 func TestCheck(t *testing.T) {
-	type made struct {
-		outcome  *Outcome
-		evidence *evidence
+	type fixture struct {
+		outcome      *Outcome
+		observations *evidence
 	}
 	tests := map[string]struct {
 		route  string
-		change func(made made)
+		change func(test fixture)
 		want   []Promise
 	}{
-		"nothing is broken": {route: routeStream, change: func(made) {}},
-		"run twice": {route: routeUnsafe, change: func(made made) {
-			made.evidence.runs["r"] = append(made.evidence.runs["r"], made.evidence.runs["r"][0])
+		"no violation": {route: routeStream, change: func(fixture) {}},
+		"at-most-once request run twice": {route: routeUnsafe, change: func(test fixture) {
+			test.observations.runs["r"] = append(test.observations.runs["r"], test.observations.runs["r"][0])
 		}, want: []Promise{PromiseOnce}},
-		"run twice where it may": {route: routeSafe, change: func(made made) {
-			made.evidence.runs["r"] = append(made.evidence.runs["r"], made.evidence.runs["r"][0])
+		"repeatable request run twice": {route: routeSafe, change: func(test fixture) {
+			test.observations.runs["r"] = append(test.observations.runs["r"], test.observations.runs["r"][0])
 		}},
-		"refused, and run": {route: routeUnsafe, change: func(made made) {
-			made.outcome.Status = http.StatusServiceUnavailable
+		"refused request run": {route: routeUnsafe, change: func(test fixture) {
+			test.outcome.Status = http.StatusServiceUnavailable
 		}, want: []Promise{PromiseNotRun}},
-		"an event is missing": {route: routeStream, change: func(made made) {
-			made.outcome.Body = "bod"
+		"missing event in a successful response": {route: routeStream, change: func(test fixture) {
+			test.outcome.Body = "bod"
 		}, want: []Promise{PromiseWhole}},
-		"another's bytes": {route: routeStream, change: func(made made) {
-			made.outcome.Body, made.outcome.Whole = "other", false
+		"bytes of another response": {route: routeStream, change: func(test fixture) {
+			test.outcome.Body, test.outcome.Whole = "other", false
 		}, want: []Promise{PromiseWhole}},
-		"no mark": {route: routeStream, change: func(made made) {
-			made.outcome.Seal = ""
+		"missing server seal": {route: routeStream, change: func(test fixture) {
+			test.outcome.Seal = ""
 		}, want: []Promise{PromiseWhole}},
-		"cut short and seen to be": {route: routeStream, change: func(made made) {
-			made.outcome.Body, made.outcome.Whole = "bo", false
+		"truncated response that the caller detects": {route: routeStream, change: func(test fixture) {
+			test.outcome.Body, test.outcome.Whole = "bo", false
 		}},
-		"a key is handed on": {route: routeStream, change: func(made made) {
-			made.evidence.runs["r"][0].KeySeen = true
+		"API key forwarded to a server": {route: routeStream, change: func(test fixture) {
+			test.observations.runs["r"][0].KeySeen = true
 		}, want: []Promise{PromiseUnaltered}},
-		"another organisation": {route: routeStream, change: func(made made) {
-			made.evidence.runs["r"][0].Organisation = "other"
+		"wrong organisation forwarded": {route: routeStream, change: func(test fixture) {
+			test.observations.runs["r"][0].Organisation = "other"
 		}, want: []Promise{PromiseUnaltered}},
-		"another path": {route: routeStream, change: func(made made) {
-			made.evidence.runs["r"][0].Target = "/chat/x/y"
+		"path changed": {route: routeStream, change: func(test fixture) {
+			test.observations.runs["r"][0].Target = "/chat/x/y"
 		}, want: []Promise{PromiseUnaltered}},
-		"nobody sent it": {route: routeStream, change: func(made made) {
-			made.evidence.runs["x"] = made.evidence.runs["r"]
+		"run of a request that no caller sent": {route: routeStream, change: func(test fixture) {
+			test.observations.runs["x"] = test.observations.runs["r"]
 		}, want: []Promise{PromiseUnaltered}},
-		"a key that was taken away": {route: routeStream, change: func(made made) {
-			made.outcome.Key = "key-1"
-			made.evidence.operator.keys[1].revoked = at(-5 * time.Second)
+		"revoked key accepted": {route: routeStream, change: func(test fixture) {
+			test.outcome.Key = "key-1"
+			test.observations.operator.keys[1].revoked = at(-5 * time.Second)
 		}, want: []Promise{PromiseRevoked}},
-		"a key that was taken away just now": {route: routeStream, change: func(made made) {
-			made.outcome.Key = "key-1"
-			made.evidence.operator.keys[1].revoked = at(-3 * time.Second)
+		"key accepted within the revocation bound": {route: routeStream, change: func(test fixture) {
+			test.outcome.Key = "key-1"
+			test.observations.operator.keys[1].revoked = at(-3 * time.Second)
 		}},
-		"too late": {route: routeStream, change: func(made made) {
-			made.outcome.Ended = at(9 * time.Second)
+		"response after the timeout": {route: routeStream, change: func(test fixture) {
+			test.outcome.Ended = at(9 * time.Second)
 		}, want: []Promise{PromiseTime}},
-		"too late while its VM stood still": {route: routeStream, change: func(made made) {
-			made.outcome.Ended = at(9 * time.Second)
-			made.evidence.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-0"})
+		"response after the timeout of a paused VM": {route: routeStream, change: func(test fixture) {
+			test.outcome.Ended = at(9 * time.Second)
+			test.observations.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
-		"too late while another VM stood still": {route: routeStream, change: func(made made) {
-			made.outcome.Ended = at(9 * time.Second)
-			made.evidence.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-1"})
+		"response after the timeout while another VM is paused": {route: routeStream, change: func(test fixture) {
+			test.outcome.Ended = at(9 * time.Second)
+			test.observations.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-1"})
 		}, want: []Promise{PromiseTime}},
-		"a proper request is denied": {route: routeSafe, change: func(made made) {
-			made.outcome.Status = http.StatusUnauthorized
+		"valid request rejected": {route: routeSafe, change: func(test fixture) {
+			test.outcome.Status = http.StatusUnauthorized
 		}, want: []Promise{PromiseDenied}},
-		"cut in a planned stop": {route: routeStream, change: func(made made) {
-			made.outcome.Err, made.outcome.Whole = "reset", false
-			made.evidence.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMStop, vm: "vm-0"})
+		"connection lost in a planned stop": {route: routeStream, change: func(test fixture) {
+			test.outcome.Err, test.outcome.Whole = "reset", false
+			test.observations.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMStop, vm: "vm-0"})
 		}, want: []Promise{PromiseLost}},
-		"sent while its process was away": {route: routeStream, change: func(made made) {
-			made.outcome.Err, made.outcome.Status, made.outcome.Whole, made.outcome.Body = "reset", 0, false, ""
-			made.evidence.runs = nil
+		"sent while the VM process is down": {route: routeStream, change: func(test fixture) {
+			test.outcome.Err, test.outcome.Status, test.outcome.Whole, test.outcome.Body = "reset", 0, false, ""
+			test.observations.runs = nil
 		}},
-		"cut without an answer": {route: routeStream, change: func(made made) {
-			made.outcome.Err, made.outcome.Status, made.outcome.Whole, made.outcome.Body = "reset", 0, false, ""
+		"connection lost without a response": {route: routeStream, change: func(test fixture) {
+			test.outcome.Err, test.outcome.Status, test.outcome.Whole, test.outcome.Body = "reset", 0, false, ""
 		}, want: []Promise{PromiseLost}},
-		"cut when its time was over": {route: routeStream, change: func(made made) {
-			made.outcome.Err, made.outcome.Whole, made.outcome.Ended = "reset", false, at(7*time.Second)
+		"connection lost after the timeout": {route: routeStream, change: func(test fixture) {
+			test.outcome.Err, test.outcome.Whole, test.outcome.Ended = "reset", false, at(7*time.Second)
 		}},
-		"cut by a kill": {route: routeStream, change: func(made made) {
-			made.outcome.Err, made.outcome.Whole = "reset", false
-			made.evidence.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMKill, vm: "vm-0"})
+		"connection lost when the VM is killed": {route: routeStream, change: func(test fixture) {
+			test.outcome.Err, test.outcome.Whole = "reset", false
+			test.observations.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMKill, vm: "vm-0"})
 		}},
-		"a server that left": {route: routeStream, change: func(made made) {
-			made.evidence.operator.left["i-1"] = at(-4 * time.Second)
-			made.evidence.reaches(at(time.Second))
+		"arrival at a draining server": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.left["i-1"] = at(-4 * time.Second)
+			test.observations.reaches(at(time.Second))
 		}, want: []Promise{PromiseLeaving}},
-		"a server that left, and ran nothing of it": {route: routeStream, change: func(made made) {
-			made.evidence.operator.left["i-1"] = at(-4 * time.Second)
-			made.evidence.reaches(at(time.Second))
-			made.evidence.runs = nil
+		"arrival at a draining server without a run": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.left["i-1"] = at(-4 * time.Second)
+			test.observations.reaches(at(time.Second))
+			test.observations.runs = nil
 		}, want: []Promise{PromiseLeaving}},
-		"a server that left while it waited there": {route: routeStream, change: func(made made) {
-			made.evidence.operator.left["i-1"] = at(-4 * time.Second)
-			made.evidence.reaches(at(-5 * time.Second))
+		"arrival before the server drains": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.left["i-1"] = at(-4 * time.Second)
+			test.observations.reaches(at(-5 * time.Second))
 		}},
-		"a server that left while the store was away": {route: routeStream, change: func(made made) {
-			made.evidence.operator.left["i-1"] = at(-4 * time.Second)
-			made.evidence.reaches(at(time.Second))
-			made.evidence.log.add(span{from: at(-5 * time.Second), to: at(-4 * time.Second), kind: KindStoreBusy})
+		"arrival at a draining server while the store is unavailable": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.left["i-1"] = at(-4 * time.Second)
+			test.observations.reaches(at(time.Second))
+			test.observations.log.add(span{from: at(-5 * time.Second), to: at(-4 * time.Second), kind: KindStoreBusy})
 		}},
-		"back to an older configuration": {route: "v7", change: func(made made) {
-			later := *made.outcome
+		"return to an older configuration": {route: "v7", change: func(test fixture) {
+			later := *test.outcome
 			later.ID, later.Sent, later.Ended, later.Status = "later", at(3*time.Second), at(4*time.Second), http.StatusNotFound
-			made.evidence.outcomes = append(made.evidence.outcomes, later)
+			test.observations.outcomes = append(test.observations.outcomes, later)
 		}, want: []Promise{PromiseForward}},
-		"sent to a server that had said that it leaves": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
+		"sent to a server that advertised draining": {route: routeStream, change: func(test fixture) {
+			test.observations.sendAgain(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
 		}, want: []Promise{PromiseSaid}},
-		"a moment after it had said so": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 2500*time.Millisecond, platformserver.Arrival{Leaving: true})
+		"sent within the bound after a server advertised draining": {route: routeStream, change: func(test fixture) {
+			test.observations.sendAgain(test.outcome, 2500*time.Millisecond, platformserver.Arrival{Leaving: true})
 		}},
-		"after the VM stood still": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
-			made.evidence.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
+		"sent to a server that advertised draining after a pause of the VM": {route: routeStream, change: func(test fixture) {
+			test.observations.sendAgain(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Leaving: true})
+			test.observations.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
-		"sent to a server whose entry is bad": {route: routeStream, change: func(made made) {
-			made.evidence.operator.spoilt["i-1"] = []spoilt{{from: at(-3 * time.Second), to: at(3 * time.Second)}}
-			made.evidence.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
+		"arrival at a server with a malformed entry": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.spoilt["i-1"] = []spoilt{{from: at(-3 * time.Second), to: at(3 * time.Second)}}
+			test.observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
 		}, want: []Promise{PromiseBad}},
-		"sent after it was good again": {route: routeStream, change: func(made made) {
-			made.evidence.operator.spoilt["i-1"] = []spoilt{{from: at(-5 * time.Second), to: at(0)}}
-			made.evidence.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
+		"arrival after the entry is valid again": {route: routeStream, change: func(test fixture) {
+			test.observations.operator.spoilt["i-1"] = []spoilt{{from: at(-5 * time.Second), to: at(0)}}
+			test.observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
 		}},
-		"sent to an evacuated data centre": {route: routeStream, change: func(made made) {
-			made.evidence.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+		"arrival in an evacuated data centre": {route: routeStream, change: func(test fixture) {
+			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
 		}, want: []Promise{PromiseEvacuated}},
-		"sent to one before that had to be known": {route: routeStream, change: func(made made) {
-			made.evidence.sendWhile(evacuated{dataCentre: secondCentre, from: at(-time.Second), to: at(3 * time.Second)})
+		"arrival within the bound of an evacuation": {route: routeStream, change: func(test fixture) {
+			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-time.Second), to: at(3 * time.Second)})
 		}},
-		"sent to one that is taken back": {route: routeStream, change: func(made made) {
-			made.evidence.sendWhile(evacuated{dataCentre: secondCentre, from: at(-5 * time.Second), to: at(0)})
+		"arrival after the end of an evacuation": {route: routeStream, change: func(test fixture) {
+			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-5 * time.Second), to: at(0)})
 		}},
-		"sent while another one is evacuated": {route: routeStream, change: func(made made) {
-			made.evidence.sendWhile(evacuated{dataCentre: firstCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+		"arrival while another data centre is evacuated": {route: routeStream, change: func(test fixture) {
+			test.observations.sendWhile(evacuated{dataCentre: firstCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
 		}},
-		"sent to an evacuated one while the store is away": {route: routeStream, change: func(made made) {
-			made.evidence.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
-			made.evidence.log.add(span{from: at(-4 * time.Second), to: at(-2 * time.Second), kind: KindStoreBusy})
+		"arrival in an evacuated data centre while the store is unavailable": {route: routeStream, change: func(test fixture) {
+			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+			test.observations.log.add(span{from: at(-4 * time.Second), to: at(-2 * time.Second), kind: KindStoreBusy})
 		}},
-		"two sent in a rest": {route: routeStream, change: func(made made) {
-			made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
-			made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{})
+		"two arrivals during a backoff": {route: routeStream, change: func(test fixture) {
+			test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+			test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{})
 		}},
-		"three sent in a rest": {route: routeStream, change: func(made made) {
+		"three arrivals during a backoff": {route: routeStream, change: func(test fixture) {
 			for range restSends + 1 {
-				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+				test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
 			}
 		}, want: []Promise{PromiseRest}},
-		"three sent while the way there was cut": {route: routeStream, change: func(made made) {
+		"three arrivals during a backoff with a link fault": {route: routeStream, change: func(test fixture) {
 			for range restSends + 1 {
-				made.evidence.sendAgain(made.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
+				test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Rest: 2 * time.Second})
 			}
-			made.evidence.log.add(span{from: at(time.Second), to: at(2 * time.Second), kind: KindLinkOneWay})
+			test.observations.log.add(span{from: at(time.Second), to: at(2 * time.Second), kind: KindLinkOneWay})
 		}},
-		"as many as a limit allows": {route: routeStream, change: func(made made) {
-			made.evidence.sendLimited(made.outcome, limitSlack-1, 0)
+		"as many arrivals as a rate limit allows": {route: routeStream, change: func(test fixture) {
+			test.observations.sendLimited(test.outcome, limitSlack-1, 0)
 		}},
-		"more than a limit allows": {route: routeStream, change: func(made made) {
-			made.evidence.sendLimited(made.outcome, limitSlack, 0)
+		"more arrivals than a rate limit allows": {route: routeStream, change: func(test fixture) {
+			test.observations.sendLimited(test.outcome, limitSlack, 0)
 		}, want: []Promise{PromiseLimit}},
-		"more, and another limit before": {route: routeStream, change: func(made made) {
-			made.evidence.sendLimited(made.outcome, limitSlack, 1)
+		"more arrivals than a rate limit that was higher before": {route: routeStream, change: func(test fixture) {
+			test.observations.sendLimited(test.outcome, limitSlack, 1)
 		}},
-		"more, after the VM stood still": {route: routeStream, change: func(made made) {
-			made.evidence.sendLimited(made.outcome, limitSlack, 0)
-			made.evidence.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
+		"more arrivals than a rate limit allows after a pause of the VM": {route: routeStream, change: func(test fixture) {
+			test.observations.sendLimited(test.outcome, limitSlack, 0)
+			test.observations.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
-		"not served again": {route: routeStream, change: func(made made) {
-			made.evidence.calm = at(0)
+		"too few successes after the faults": {route: routeStream, change: func(test fixture) {
+			test.observations.calm = at(0)
 			for range fewest {
-				failed := *made.outcome
+				failed := *test.outcome
 				failed.ID, failed.Status, failed.Whole, failed.Body = "later", http.StatusBadGateway, true, ""
-				made.evidence.outcomes = append(made.evidence.outcomes, failed)
+				test.observations.outcomes = append(test.observations.outcomes, failed)
 			}
 		}, want: []Promise{PromiseRecovered}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			outcome, run := served("r", test.route)
-			evidence := &evidence{
+			observations := &evidence{
 				outcomes: []Outcome{outcome}, runs: map[string][]platformserver.Run{"r": {run}}, log: &faultLog{},
 				operator: newOperator(metastore.New()), calm: at(time.Hour),
 				life: func(string, time.Time) int { return 1 },
-				down: func(string, time.Time, time.Time) bool { return name == "sent while its process was away" },
+				down: func(string, time.Time, time.Time) bool { return name == "sent while the VM process is down" },
 			}
-			test.change(made{outcome: &evidence.outcomes[0], evidence: evidence})
+			test.change(fixture{outcome: &observations.outcomes[0], observations: observations})
 			var broken []Promise
-			for _, violation := range evidence.check() {
+			for _, violation := range observations.check() {
 				broken = append(broken, violation.Promise)
 			}
 			assert.DeepEqual(t, broken, test.want)
@@ -231,13 +232,14 @@
 	}
 }
 
-// sendWhile has a request reach a server of the second data centre during an evacuation.
-func (evidence *evidence) sendWhile(evacuation evacuated) {
-	evidence.operator.centres["i-1"] = secondCentre
-	evidence.operator.evacuated = []evacuated{evacuation}
-	evidence.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
+// arriveDuringEvacuation replaces all arrivals by one at a server of the second data centre, with that evacuation.
+func (observations *evidence) sendWhile(period evacuated) {
+	observations.operator.centres["i-1"] = secondCentre
+	observations.operator.evacuated = []evacuated{period}
+	observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
 }
 
+// TestPlanIsTheSameForASeed guards the replay of a failed run by its seed. Events must also stay out of the quiet times.
 func TestPlanIsTheSameForASeed(t *testing.T) {
 	length := DefaultSettings().Length
 	first, again, other := NewPlan(7, length), NewPlan(7, length), NewPlan(8, length)
@@ -249,25 +251,25 @@
 	}
 }
 
-// sendAgain adds an outcome like another one, but for its being sent so much later, with what reached the server then
-// and, unless that is there, the first time.
-func (evidence *evidence) sendAgain(outcome *Outcome, later time.Duration, first platformserver.Arrival) {
+// addLaterRequest adds a copy of an outcome that was sent later by the given time, and its arrival. If there are no
+// arrivals yet, it first adds the given one, as that of the original outcome.
+func (observations *evidence) sendAgain(outcome *Outcome, later time.Duration, first platformserver.Arrival) {
 	first.ID, first.Instance, first.At = outcome.ID, outcome.Seal, at(1100*time.Millisecond)
 	again := *outcome
-	again.ID = fmt.Sprintf("again-%d", len(evidence.outcomes))
+	again.ID = fmt.Sprintf("again-%d", len(observations.outcomes))
 	again.Sent, again.Ended = outcome.Sent.Add(later), outcome.Ended.Add(later)
 	second := platformserver.Arrival{ID: again.ID, Instance: outcome.Seal, At: first.At.Add(later)}
-	evidence.outcomes = append(evidence.outcomes, again)
-	if len(evidence.arrivals) == 0 {
-		evidence.arrivals = append(evidence.arrivals, first)
+	observations.outcomes = append(observations.outcomes, again)
+	if len(observations.arrivals) == 0 {
+		observations.arrivals = append(observations.arrivals, first)
 	}
-	evidence.arrivals = append(evidence.arrivals, second)
+	observations.arrivals = append(observations.arrivals, second)
 }
 
-// sendLimited adds a request at a server 3 s after that told the VM of a limit, which may be another one before that, and so
-// many more a second later, when it takes none.
-func (evidence *evidence) sendLimited(outcome *Outcome, count int, before float64) {
-	evidence.arrivals = append(evidence.arrivals, platformserver.Arrival{
+// addRateLimitedRequests adds an arrival that makes a server's rate limit known to the VM, one 3 s after the VM relayed it,
+// with the limit before, and count more a second later, when the limit is zero.
+func (observations *evidence) sendLimited(outcome *Outcome, count int, before float64) {
+	observations.arrivals = append(observations.arrivals, platformserver.Arrival{
 		ID: outcome.ID, Instance: outcome.Seal, At: at(1100 * time.Millisecond), Limited: true,
 	})
 	sends := []platformserver.Arrival{{At: at(5 * time.Second), Limited: true, Limit: before}}
@@ -278,12 +280,12 @@
 		again := *outcome
 		again.ID = fmt.Sprintf("limited-%d", number)
 		send.ID, send.Instance = again.ID, outcome.Seal
-		evidence.outcomes = append(evidence.outcomes, again)
-		evidence.arrivals = append(evidence.arrivals, send)
+		observations.outcomes = append(observations.outcomes, again)
+		observations.arrivals = append(observations.arrivals, send)
 	}
 }
 
-// reaches notes when the request reached its server.
-func (evidence *evidence) reaches(moment time.Time) {
-	evidence.arrivals = append(evidence.arrivals, platformserver.Arrival{ID: "r", Instance: "i-1", At: moment})
+// addArrival adds the arrival of the request at its server.
+func (observations *evidence) reaches(moment time.Time) {
+	observations.arrivals = append(observations.arrivals, platformserver.Arrival{ID: "r", Instance: "i-1", At: moment})
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,7 +1,7 @@
-// Package soak runs real gateways as separate processes against stand-ins of the
-// users' platform, injects faults from outside by a plan that a seed determines,
-// and checks what callers and backend servers saw against what is promised.
+// Package soak runs real gateways as separate processes against simulated services of
+// the users' platform, injects faults from outside by a plan that a seed determines,
+// and checks what callers and backend servers observed against the gateway's invariants.
 //
-// It starts processes, which no program of a VM does; it is a test tool, and ends
-// only what it started.
+// It is a test tool. Unlike the programs of a VM it starts processes, and it ends only
+// those that it started.
 package soak
--- /dev/null
+++ b/internal/soak/environment.go
@@ -0,0 +1,298 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/mastwinch/mastwinch/internal/standin/metastore"
+	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
+)
+
+// Ports of a run. Each process and proxy has a loopback address of its own.
+const (
+	portFront = 8001
+	portReady = 8002
+	portPeer  = 7340
+	portStore = 8003
+	portBack  = 8080
+)
+
+// Time bounds that VMs must meet in a run, as on the users' small sites.
+const (
+	boundDrain   = 2 * time.Second
+	boundGrace   = 8 * time.Second
+	boundRevoke  = 5 * time.Second
+	boundContact = 3 * time.Second
+	boundFree    = 4 * time.Second
+	// boundEvacuate is the configured time until an evacuation is in force.
+	boundEvacuate = 2 * time.Second
+)
+
+// Settings configure a run.
+type Settings struct {
+	// Program is the path of the gateway program, and Dir the directory for settings files and logs.
+	Program string
+	Dir     string
+	Seed    uint64
+	Length  time.Duration
+	VMs     int
+	Engines int
+	Plains  int
+	Callers int
+	// Network is the second byte of the loopback addresses of the run. Concurrent runs
+	// need different ones.
+	Network int
+}
+
+// vm is a gateway with the proxies between it and its callers and between it and the store.
+type vm struct {
+	name    string
+	process *process
+	front   *proxy
+	store   *proxy
+	// file is the settings file.
+	file string
+}
+
+// backend is a server address with its proxy and the stand-in server that currently runs there.
+type backend struct {
+	service string
+	// address is the proxy's, which VMs connect to. serverAddress is the server's own.
+	address string
+	own     string
+	link    *proxy
+	// replacing is held while the server is replaced or its entry is malformed.
+	replacing sync.Mutex
+
+	mu sync.Mutex
+	// generation counts the servers started at the address.
+	life    int
+	standIn standIn
+	// engine is the stand-in if it is a model engine, and nil for a plain service.
+	engine *platformserver.Engine
+	server *http.Server
+}
+
+// standIn is a simulated server: a model engine or a server of a plain service.
+type standIn interface {
+	http.Handler
+	Identity() platformserver.Identity
+	SetFaults(faults platformserver.Faults)
+	SayLeaving()
+	SetCrash(crash platformserver.Crash)
+}
+
+var (
+	_ standIn = (*platformserver.Engine)(nil)
+	_ standIn = (*platformserver.Plain)(nil)
+)
+
+// environment holds the store, servers, VMs and records of one run.
+type world struct {
+	settings Settings
+	store    *metastore.Store
+	record   *platformserver.Record
+	fleet    *platformserver.Fleet
+	operator *operator
+	vms      []*vm
+	backends []*backend
+	log      *faultLog
+	harmful  *harmfulLog
+	closers  []func()
+}
+
+func (environment *world) ip(group, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", environment.settings.Network, group, number+1)
+}
+
+// newEnvironment starts the store, servers and VMs of a run. On an error it returns what was started, which the caller must
+// close too.
+func newWorld(ctx context.Context, settings Settings) (*world, error) {
+	environment := &world{
+		settings: settings, store: metastore.New(), record: &platformserver.Record{},
+		fleet: platformserver.NewFleet(), log: &faultLog{}, harmful: &harmfulLog{},
+	}
+	environment.operator = newOperator(environment.store)
+	environment.operator.twoCentres = extra(settings.Seed) == KindEvacuate
+	storeAddress := net.JoinHostPort(environment.ip(0, 0), fmt.Sprint(portStore))
+	if err := environment.listen(storeAddress, environment.store); err != nil {
+		return environment, err
+	}
+	for number := range settings.Engines + settings.Plains {
+		if err := environment.addBackend(ctx, number); err != nil {
+			return environment, err
+		}
+	}
+	environment.operator.configure(nil)
+	for number := range settings.VMs {
+		if err := environment.addVM(number, storeAddress); err != nil {
+			return environment, err
+		}
+	}
+	return environment, nil
+}
+
+func (environment *world) listen(address string, handler http.Handler) error {
+	listener, err := net.Listen("tcp4", address) //nolint:noctx // closed by environment.close
+	if err != nil {
+		return errors.Wrap(err, "listen for store stand-in")
+	}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
+	environment.closers = append(environment.closers, func() { _ = server.Close() })
+	return nil
+}
+
+// close ends everything that was started and waits for the VMs' processes.
+func (environment *world) close() {
+	var ending sync.WaitGroup
+	for _, vm := range environment.vms {
+		ending.Go(vm.process.close)
+	}
+	ending.Wait()
+	for _, closer := range environment.closers {
+		closer()
+	}
+	for _, backend := range environment.backends {
+		backend.stop()
+	}
+}
+
+// addBackend starts the server with that number and its proxy. The first settings.Engines numbers are model engines.
+func (environment *world) addBackend(ctx context.Context, number int) error {
+	service := serviceEngines
+	if number >= environment.settings.Engines {
+		service = servicePlain
+	}
+	own := net.JoinHostPort(environment.ip(2, number), fmt.Sprint(portBack))
+	link, err := newProxy(net.JoinHostPort(environment.ip(3, number), fmt.Sprint(portBack)), own)
+	if err != nil {
+		return err
+	}
+	environment.closers = append(environment.closers, link.close)
+	added := &backend{service: service, address: link.address(), own: own, link: link}
+	environment.backends = append(environment.backends, added)
+	return environment.startBackend(ctx, added, added.newName())
+}
+
+// newName returns a name that no server at the address has had.
+func (backend *backend) newName() string {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return fmt.Sprintf("i-%s-%d", backend.address, backend.life+1)
+}
+
+// startBackend starts a server of a backend and writes its entry to the store. The name may be one that was used before,
+// as after a crash.
+func (environment *world) startBackend(ctx context.Context, backend *backend, name string) error {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	backend.life++
+	identity := platformserver.Identity{
+		Instance: name, Service: backend.service, Address: backend.address, Born: time.Now(),
+	}
+	seed := environment.settings.Seed + uint64(backend.life) //nolint:gosec // small non-negative number
+	if backend.service == serviceEngines {
+		backend.engine = platformserver.NewEngine(ctx, identity, platformserver.UsersModel(), environment.fleet, environment.record, seed)
+		backend.standIn = backend.engine
+	} else {
+		backend.standIn = platformserver.NewPlain(identity, plainSlots, plainWork, environment.record, seed)
+	}
+	backend.standIn.SetCrash(platformserver.Crash{Body: harmfulBody, End: func() { go environment.crash(ctx, backend) }})
+	listener, err := net.Listen("tcp4", backend.own) //nolint:noctx // closed by backend.stop
+	if err != nil {
+		return errors.Wrap(err, "listen for server stand-in")
+	}
+	server := &http.Server{Handler: backend.standIn, ReadHeaderTimeout: time.Minute}
+	backend.server = server
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
+	environment.operator.list(identity, false)
+	return nil
+}
+
+// stop ends the server abruptly.
+func (backend *backend) stop() {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	if backend.engine != nil {
+		backend.engine.Kill()
+	}
+	_ = backend.server.Close() // aborts the open connections
+}
+
+// identity returns the identity of the server that runs now.
+func (backend *backend) identity() platformserver.Identity {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	return backend.standIn.Identity()
+}
+
+func (backend *backend) setFaults(faults platformserver.Faults) {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	backend.standIn.SetFaults(faults)
+}
+
+func (backend *backend) sayLeaving() {
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	backend.standIn.SayLeaving()
+}
+
+// addVM writes the settings file of a VM and starts it with its proxies.
+func (environment *world) addVM(number int, storeAddress string) error {
+	added := &vm{name: fmt.Sprintf("vm-%d", number)}
+	ip := environment.ip(1, number)
+	var err error
+	if added.front, err = newProxy(net.JoinHostPort(environment.ip(4, number), fmt.Sprint(portFront)), net.JoinHostPort(ip, fmt.Sprint(portFront))); err != nil {
+		return err
+	}
+	if added.store, err = newProxy(net.JoinHostPort(environment.ip(5, number), fmt.Sprint(portStore)), storeAddress); err != nil {
+		return err
+	}
+	environment.closers = append(environment.closers, added.front.close, added.store.close)
+	added.file = filepath.Join(environment.settings.Dir, added.name+".json")
+	if err := environment.writeSite(added, ip, 0); err != nil {
+		return err
+	}
+	output, err := os.Create(filepath.Join(environment.settings.Dir, added.name+".log"))
+	if err != nil {
+		return errors.Wrap(err, "create VM log file")
+	}
+	environment.closers = append(environment.closers, func() { _ = output.Close() })
+	added.process = startProcess(environment.settings.Program, nil, []string{"MASTWINCH_NODE_FILE=" + added.file}, output)
+	environment.vms = append(environment.vms, added)
+	return nil
+}
+
+// writeSite writes the settings file of a VM. moreSlack is added to the slack of the
+// retry budget.
+func (environment *world) writeSite(vm *vm, ip string, moreSlack int) error {
+	data, err := json.Marshal(map[string]any{
+		"node_name": vm.name, "ip": ip, "zone": firstCentre,
+		"listen_addrs": map[string]string{
+			"front": net.JoinHostPort(ip, fmt.Sprint(portFront)), "ready": net.JoinHostPort(ip, fmt.Sprint(portReady)),
+		},
+		"port_range": []int{portPeer, portPeer},
+		"limits":     map[string]any{"memory_mb": 284, "link_mbps": 1000.0},
+		"bounds": map[string]any{
+			"config_apply_ms": 2000, "evac_ms": boundEvacuate.Milliseconds(), "grace_s": boundGrace.Seconds(), "revoke_ms": boundRevoke.Milliseconds(),
+			"revoke_fail_closed": true, "retry_budget_ratio": 0.2, "budget_window_s": 10,
+			"budget_slack": 100 + moreSlack, "hold_max_ms": 20_000,
+		},
+		"platform_config": map[string]string{"address": vm.store.address()},
+	})
+	if err != nil {
+		return errors.Wrap(err, "encode VM settings")
+	}
+	return errors.Wrap(os.WriteFile(vm.file, data, 0o600), "write VM settings file")
+}
--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -14,13 +14,14 @@
 	secondCentre = "south"
 )
 
-// evacuated is a time in which a data centre was to get nothing; it has no end while that lasts.
+// evacuation is a span in which the servers of a data centre must get no requests. A zero end means that it is in force.
 type evacuated struct {
 	dataCentre string
 	from, to   time.Time
 }
 
-// centre returns the data centre of a server: all are in the first one, or every other one by its address.
+// assignDataCentre returns the data centre of a server: the first one, or, in runs with two, by the parity of the last
+// byte of its address.
 func (operator *operator) centre(identity platformserver.Identity) string {
 	address, err := netip.ParseAddrPort(identity.Address)
 	if operator.twoCentres && err == nil && address.Addr().As4()[3]%2 == 0 {
@@ -29,12 +30,13 @@
 	return firstCentre
 }
 
-// evacuate begins the evacuation of a data centre, or ends it. It ends when all that began it ended it.
-func (operator *operator) evacuate(dataCentre string, wished bool) {
+// evacuate begins or ends an evacuation of a data centre. Overlapping evacuations are counted; the data centre is back in
+// service when the last one has ended.
+func (operator *operator) evacuate(dataCentre string, begin bool) {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	key := "evacuate/" + dataCentre
-	if wished {
+	if begin {
 		operator.evacuating++
 		if operator.evacuating == 1 {
 			operator.put("keyed.op", key, []byte("{}"))
@@ -49,14 +51,14 @@
 	}
 }
 
-// evacuations returns each evacuation that ended.
+// endedEvacuations returns the evacuations that have ended.
 func (operator *operator) evacuations() []evacuated {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(operator.evacuated), func(evacuated evacuated) bool { return evacuated.to.IsZero() })
+	return slices.DeleteFunc(slices.Clone(operator.evacuated), func(evacuation evacuated) bool { return evacuation.to.IsZero() })
 }
 
-// dataCentreOf returns the data centre of a server that was listed.
+// dataCentreOf returns the data centre of a server that had an entry in the store, or an empty string.
 func (operator *operator) dataCentreOf(instance string) string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,15 +11,15 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// span is when a fault was at work, and where.
+// span is the time in which a fault was active, and the VM that it affected.
 type span struct {
 	from, to time.Time
 	kind     Kind
-	// vm is the name of the VM that it struck, or empty.
+	// vm is the name of the affected VM, or empty for a fault that is not of one VM.
 	vm string
 }
 
-// faultLog has which faults were at work when.
+// faultLog records the spans of faults. It may be used concurrently.
 type faultLog struct {
 	mu    sync.Mutex
 	spans []span
@@ -31,7 +31,7 @@
 	log.spans = append(log.spans, added)
 }
 
-// between returns the faults at work at any time in a span.
+// between returns the faults that were active at any time in a span.
 func (log *faultLog) between(from, to time.Time) []span {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -44,93 +44,93 @@
 	return found
 }
 
-// Times of faults.
+// Durations around faults.
 const (
-	// restartTime is how long after its end a VM is not held to bounds.
+	// restartSlack is how long after the end of its process a VM is exempt from time bounds.
 	restartTime = time.Second
-	// entryTime is how long the entry of a dead server stays listed.
+	// staleEntryTime is how long the entry of a dead server stays in the store.
 	entryTime = 1500 * time.Millisecond
-	// serveOn is how long a leaving server serves beyond the bound.
+	// extraDrainTime is how long a draining server keeps serving beyond boundDrain.
 	serveOn = 3 * time.Second
 )
 
-// inject plays a plan until all faults are over.
-func (world *world) inject(ctx context.Context, plan []Event) {
+// injectFaults runs a plan and returns when all its faults have ended.
+func (environment *world) inject(ctx context.Context, plan []Event) {
 	start := time.Now()
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for _, event := range plan {
 		if !wait.For(ctx, time.Until(start.Add(event.At))) {
 			break
 		}
-		playing.Go(func() { world.play(ctx, event) })
+		running.Go(func() { environment.play(ctx, event) })
 	}
-	playing.Wait()
+	running.Wait()
 }
 
-// play plays one fault.
-func (world *world) play(ctx context.Context, event Event) {
+// injectFault injects one fault, waits for its end and records its span.
+func (environment *world) play(ctx context.Context, event Event) {
 	from := time.Now()
-	vm := world.vms[event.Target%len(world.vms)]
-	backend := world.backends[event.Target%len(world.backends)]
-	struck := ""
-	after := time.Duration(0)
+	vm := environment.vms[event.Target%len(environment.vms)]
+	backend := environment.backends[event.Target%len(environment.backends)]
+	affected := ""
+	slack := time.Duration(0)
 	switch event.Kind {
 	case KindVMKill:
-		struck, after = vm.name, restartTime
+		affected, slack = vm.name, restartTime
 		vm.process.signal(syscall.SIGKILL)
 	case KindAllKill:
-		after = restartTime
-		for _, vm := range world.vms {
+		slack = restartTime
+		for _, vm := range environment.vms {
 			vm.process.signal(syscall.SIGKILL)
 		}
 	case KindVMPause:
-		struck = vm.name
+		affected = vm.name
 		vm.process.signal(syscall.SIGSTOP)
 		wait.For(ctx, event.For)
 		vm.process.signal(syscall.SIGCONT)
 	case KindVMStop:
-		struck, after = vm.name, boundGrace
+		affected, slack = vm.name, boundGrace
 		vm.process.signal(syscall.SIGTERM)
 	case KindVMReload:
-		struck = vm.name
-		// The file is only as new as its slack, which no check reads.
-		if err := world.writeSite(vm, world.ip(1, event.Target%len(world.vms)), event.Target%50); err == nil {
+		affected = vm.name
+		// Only the slack of the retry budget changes, which no check depends on.
+		if err := environment.writeSite(vm, environment.ip(1, event.Target%len(environment.vms)), event.Target%50); err == nil {
 			vm.process.signal(syscall.SIGHUP)
 		}
 	case KindFrontReset, KindFrontDelay, KindStoreCut:
-		struck = vm.name
-		world.playVMProxy(ctx, event, vm)
+		affected = vm.name
+		environment.playVMProxy(ctx, event, vm)
 	case KindStoreBusy, KindStoreSilent, KindStoreReset, KindStoreLost, KindStoreTrim, KindStoreStale:
-		world.playStore(ctx, event)
+		environment.playStore(ctx, event)
 	case KindConfigure, KindRevoke, KindEvacuate:
-		world.playOperator(ctx, event)
+		environment.playOperator(ctx, event)
 	case KindStoreOlder:
-		world.playOlder(ctx, event)
+		environment.playOlder(ctx, event)
 	case KindServerKill, KindServerLeave, KindServerSays, KindBadEntry:
-		world.playServer(ctx, event, backend)
+		environment.playServer(ctx, event, backend)
 	case KindRequestCrash:
-		world.askHarmful(ctx, event)
+		environment.askHarmful(ctx, event)
 	default:
-		world.playBackend(ctx, event, backend)
+		environment.playBackend(ctx, event, backend)
 	}
-	world.log.add(span{from: from, to: time.Now().Add(after), kind: event.Kind, vm: struck})
+	environment.log.add(span{from: from, to: time.Now().Add(slack), kind: event.Kind, vm: affected})
 }
 
-// playOperator plays what the operator does.
-func (world *world) playOperator(ctx context.Context, event Event) {
+// runOperatorAction performs an action of the operator: a new configuration, a key revocation or an evacuation.
+func (environment *world) playOperator(ctx context.Context, event Event) {
 	switch event.Kind {
 	case KindRevoke:
-		world.operator.revoke()
+		environment.operator.revoke()
 	case KindEvacuate:
-		world.operator.evacuate(secondCentre, true)
+		environment.operator.evacuate(secondCentre, true)
 		wait.For(ctx, event.For)
-		world.operator.evacuate(secondCentre, false)
+		environment.operator.evacuate(secondCentre, false)
 	default:
-		world.operator.addRoute()
+		environment.operator.addRoute()
 	}
 }
 
-func (world *world) playVMProxy(ctx context.Context, event Event, vm *vm) {
+func (environment *world) playVMProxy(ctx context.Context, event Event, vm *vm) {
 	proxy, mode := vm.front, modeReset
 	switch event.Kind {
 	case KindFrontDelay:
@@ -143,104 +143,105 @@
 	proxy.set(modePass)
 }
 
-func (world *world) playStore(ctx context.Context, event Event) {
+func (environment *world) playStore(ctx context.Context, event Event) {
 	if event.Kind == KindStoreStale {
-		for _, vm := range world.vms {
+		for _, vm := range environment.vms {
 			vm.store.silence()
 		}
-		wait.For(ctx, event.For) // for which what they held up may show
+		wait.For(ctx, event.For) // the effects of the silent connections count as part of this fault
 		return
 	}
 	if event.Kind == KindStoreTrim {
-		world.store.Trim("keyed.op")
-		world.store.Trim("keyed.servers")
+		environment.store.Trim("keyed.op")
+		environment.store.Trim("keyed.servers")
 		return
 	}
-	world.store.SetFault(map[Kind]metastore.Fault{
+	environment.store.SetFault(map[Kind]metastore.Fault{
 		KindStoreBusy: metastore.FaultBusy, KindStoreSilent: metastore.FaultSilent,
 		KindStoreReset: metastore.FaultReset, KindStoreLost: metastore.FaultLost,
 	}[event.Kind])
 	wait.For(ctx, event.For)
-	world.store.SetFault(metastore.FaultNone)
+	environment.store.SetFault(metastore.FaultNone)
 }
 
-// playServer replaces a server, or has its entry spoilt.
-func (world *world) playServer(ctx context.Context, event Event, backend *backend) {
+// changeServer replaces a server or makes its entry malformed.
+func (environment *world) playServer(ctx context.Context, event Event, backend *backend) {
 	if !backend.replacing.TryLock() {
-		return // it is being replaced already
+		return // a replacement is in progress
 	}
 	defer backend.replacing.Unlock()
 	if event.Kind == KindBadEntry {
-		world.spoil(ctx, event, backend)
+		environment.spoil(ctx, event, backend)
 		return
 	}
-	world.replace(ctx, event, backend)
+	environment.replace(ctx, event, backend)
 }
 
-// replace ends a server, at once or as planned, and puts a new one at its address.
-func (world *world) replace(ctx context.Context, event Event, backend *backend) {
+// replaceServer ends a server, abruptly or after a drain, and starts a new one at its address.
+func (environment *world) replace(ctx context.Context, event Event, backend *backend) {
 	identity := backend.identity()
 	if event.Kind == KindServerSays {
-		world.sayLeaving(ctx, event, backend)
+		environment.sayLeaving(ctx, event, backend)
 	}
 	if event.Kind != KindServerKill {
-		world.operator.list(identity, true)
+		environment.operator.list(identity, true)
 		wait.For(ctx, boundDrain+serveOn)
 	}
 	backend.stop()
 	wait.For(ctx, entryTime)
-	world.operator.drop(identity)
-	// Until the run ends the address is reused, as a server's may be.
-	if err := world.startBackend(ctx, backend, backend.newName()); err != nil {
-		world.record.Violate(err.Error())
+	environment.operator.drop(identity)
+	// The new server reuses the address, as servers on the platform may.
+	if err := environment.startBackend(ctx, backend, backend.newName()); err != nil {
+		environment.record.Violate(err.Error())
 	}
 }
 
-// sayLeaving lets a server say that it leaves in its answers alone, while the store takes nothing.
-func (world *world) sayLeaving(ctx context.Context, event Event, backend *backend) {
+// advertiseDraining makes a server advertise in its responses alone that it drains, while the store rejects all requests.
+func (environment *world) sayLeaving(ctx context.Context, event Event, backend *backend) {
 	from := time.Now()
 	backend.sayLeaving()
-	world.store.SetFault(metastore.FaultBusy)
+	environment.store.SetFault(metastore.FaultBusy)
 	wait.For(ctx, event.For)
-	world.store.SetFault(metastore.FaultNone)
-	world.log.add(span{from: from, to: time.Now(), kind: KindStoreBusy})
+	environment.store.SetFault(metastore.FaultNone)
+	environment.log.add(span{from: from, to: time.Now(), kind: KindStoreBusy})
 }
 
-// spoil lets another writer replace the entry of a server, until the server writes it again.
-func (world *world) spoil(ctx context.Context, event Event, backend *backend) {
+// corruptEntry replaces the entry of a server by a malformed one until the fault ends and the entry is written again.
+func (environment *world) spoil(ctx context.Context, event Event, backend *backend) {
 	identity := backend.identity()
-	world.operator.spoil(identity, event.Target)
+	environment.operator.spoil(identity, event.Target)
 	wait.For(ctx, event.For)
-	world.operator.list(identity, false)
+	environment.operator.list(identity, false)
 }
 
-// olderAway is how long the store is away before it comes back from a copy, and olderAgain after how long the others
-// have written again.
+// rollbackOutage is how long the store is unavailable before it is restored from an older copy, and rewriteDelay how long
+// after that its writers write their records again.
 const (
 	olderAway  = 300 * time.Millisecond
 	olderAgain = 1200 * time.Millisecond
 )
 
-// playOlder lets the store come back from a copy as old as the fault is long.
-func (world *world) playOlder(ctx context.Context, event Event) {
-	older := world.store.Copy()
+// rollBackStore restores the store from a copy that is as old as the fault is long.
+func (environment *world) playOlder(ctx context.Context, event Event) {
+	copied := environment.store.Copy()
 	wait.For(ctx, event.For)
-	world.store.SetFault(metastore.FaultBusy)
+	environment.store.SetFault(metastore.FaultBusy)
 	wait.For(ctx, olderAway)
-	world.store.Return(older)
-	world.store.SetFault(metastore.FaultNone)
+	environment.store.Return(copied)
+	environment.store.SetFault(metastore.FaultNone)
 	wait.For(ctx, olderAgain)
-	world.operator.rewrite()
+	environment.operator.rewrite()
 }
 
-// Limits that a server names: from limitLeast on in limitSteps steps, in requests a second.
+// Rate limits that a server advertises, in requests per second: minRateLimit plus a multiple of rateLimitStep, of which
+// there are rateLimitSteps, from zero on.
 const (
 	limitLeast = 0.3
 	limitStep  = 0.9
 	limitSteps = 6
 )
 
-// nameLimits lets a server name one limit for half of a fault and another one for the rest.
+// advertiseRateLimits makes a server advertise one rate limit for the first half of a fault and another for the second.
 func (backend *backend) nameLimits(ctx context.Context, event Event) {
 	for half := range 2 {
 		limit := limitLeast + limitStep*float64((event.Target>>(4*half))%limitSteps)
@@ -250,18 +251,18 @@
 	backend.setFaults(platformserver.Faults{})
 }
 
-// restAsked is the rest that a server asks for.
+// requestedBackoff is the backoff that a server requests in its refusals.
 const restAsked = 4 * time.Second
 
-// faultPart is the part of its requests that a faulty server spoils.
+// faultyFraction is the fraction of its requests that a faulty server handles wrongly.
 const faultPart = 0.3
 
-// playBackend makes a server, or the way to it, misbehave.
-func (world *world) playBackend(ctx context.Context, event Event, backend *backend) {
+// disruptBackend makes a server, or the connections to it, misbehave.
+func (environment *world) playBackend(ctx context.Context, event Event, backend *backend) {
 	modes := map[Kind]mode{KindLinkReset: modeReset, KindLinkSilent: modeSilent, KindLinkOneWay: modeOneWay}
 	if event.Kind == KindLinkStale {
 		backend.link.silence()
-		wait.For(ctx, event.For) // for which what they held up may show
+		wait.For(ctx, event.For) // the effects of the silent connections count as part of this fault
 		return
 	}
 	if mode, ok := modes[event.Kind]; ok {
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -11,7 +11,7 @@
 	"github.com/mastwinch/mastwinch/internal/standin/platformserver"
 )
 
-// Names of a run's configuration.
+// Names and values in the configuration of a run.
 const (
 	serviceEngines = "engines"
 	servicePlain   = "plain"
@@ -29,47 +29,47 @@
 	timeout    = 6 * time.Second
 )
 
-// key is an API key, and when it was taken away.
+// key is an API key and when it was revoked, or zero.
 type key struct {
 	value   string
 	revoked time.Time
 }
 
-// operator writes configurations and the entries of servers to the store.
+// operator writes configurations, evacuations and server entries to the store. It may be used concurrently.
 type operator struct {
 	store *metastore.Store
 
 	mu      sync.Mutex
 	version int
-	// extra has the routes that later versions added.
+	// addedRoutes are the routes that versions after the first added.
 	extra []string
 	keys  []*key
-	// written has the newest value of each key of both topics, empty for one that was dropped.
+	// records holds the newest value of each key of both topics, nil for a deleted one.
 	written map[written][]byte
-	// spoilt has when the entry of each server was, by the server.
+	// corruptions holds the spans in which each server's entry was malformed, by server ID.
 	spoilt map[string][]spoilt
-	// evacuating counts the wishes in force, and evacuated has each time in which there were some.
+	// activeEvacuations counts the evacuations in force, and evacuations holds each span in which there was one.
 	evacuating int
 	evacuated  []evacuated
-	// centres has the data centre of each server that was listed.
+	// dataCentres holds the data centre of each server that ever had an entry, by server ID.
 	centres map[string]string
-	// twoCentres says that servers are in two of them.
+	// twoDataCentres spreads the servers over two data centres instead of one.
 	twoCentres bool
-	// left has when the leaving of each server was acknowledged.
+	// drainingSince holds when the store acknowledged the draining state of each server, by server ID.
 	left map[string]time.Time
 }
 
-// written names a record.
+// recordName identifies a record in the store.
 type written struct {
 	topic, key string
 }
 
-// spoilt is when the entry of a server was another writer's; it has no end while it still is.
+// corruption is a span in which the entry of a server was malformed. A zero end means that it still is.
 type spoilt struct {
 	from, to time.Time
 }
 
-// permanentKey is never taken away.
+// permanentKey is an API key that is never revoked.
 const permanentKey = "key-0"
 
 func newOperator(store *metastore.Store) *operator {
@@ -80,7 +80,8 @@
 	}
 }
 
-// configure writes the next version, after change.
+// configure calls change, unless it is nil, and writes the next version of the configuration. change is called with the
+// lock held.
 func (operator *operator) configure(change func()) {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
@@ -119,18 +120,18 @@
 		"tenants": []any{named(organisation, map[string]any{"api_keys": keys})},
 	})
 	if err != nil {
-		panic(err) // names and numbers only
+		panic(err) // names and numbers always encode
 	}
 	operator.put("keyed.op", "config", value)
 }
 
-// put writes a record, and remembers it. The lock is held.
+// put writes a record to the store and to records; a nil value deletes it. The lock must be held.
 func (operator *operator) put(topic, key string, value []byte) {
 	operator.written[written{topic: topic, key: key}] = value
 	operator.store.Put(topic, key, value)
 }
 
-// rewrite writes all again that a store which came back older may have lost.
+// rewriteAll writes every record again, as a store rollback may have lost some.
 func (operator *operator) rewrite() {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
@@ -154,21 +155,21 @@
 	})
 }
 
-// named returns an object of the configuration with its name.
+// withName returns a configuration object with that name and the given members.
 func named(name string, more map[string]any) map[string]any {
 	object := map[string]any{"name": name}
 	maps.Copy(object, more)
 	return object
 }
 
-// addRoute writes a version with one more route, named after the version.
+// addRoute writes a configuration version with one more route, named after the version.
 func (operator *operator) addRoute() {
 	operator.configure(func() {
 		operator.extra = append(operator.extra, fmt.Sprintf("v%d", operator.version))
 	})
 }
 
-// revoke takes a key away, and puts a new one in its place.
+// revoke revokes the newest key and adds a new one.
 func (operator *operator) revoke() {
 	operator.configure(func() {
 		operator.keys[len(operator.keys)-1].revoked = time.Now()
@@ -176,14 +177,14 @@
 	})
 }
 
-// someKey returns one of the keys by a number, revoked ones among them.
+// keyByNumber returns the key at a number modulo the count of keys, revoked ones included.
 func (operator *operator) someKey(number int) string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	return operator.keys[number%len(operator.keys)].value
 }
 
-// revokedAt returns when a key was taken away, or zero.
+// revokedAt returns when a key was revoked, or zero.
 func (operator *operator) revokedAt(value string) time.Time {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
@@ -195,7 +196,7 @@
 	return time.Time{}
 }
 
-// newestRoute returns the route that the newest version with one added, or none.
+// newestRoute returns the route that was added last, or an empty string.
 func (operator *operator) newestRoute() string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
@@ -205,10 +206,10 @@
 	return operator.extra[len(operator.extra)-1]
 }
 
-// list puts the entry of a server into the store.
-func (operator *operator) list(identity platformserver.Identity, leaving bool) {
+// putServerEntry writes the entry of a server, in the state draining or ready.
+func (operator *operator) list(identity platformserver.Identity, draining bool) {
 	state := "ready"
-	if leaving {
+	if draining {
 		state = "draining"
 	}
 	slots := platformserver.UsersModel().Slots
@@ -221,7 +222,7 @@
 		"version": "v1", "cold_left_ms": 0, "call_seq": 0, "born": identity.Born.UnixMilli(),
 	})
 	if err != nil {
-		panic(err) // names and numbers only
+		panic(err) // names and numbers always encode
 	}
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
@@ -230,32 +231,32 @@
 	if last := len(operator.spoilt[identity.Instance]) - 1; last >= 0 && operator.spoilt[identity.Instance][last].to.IsZero() {
 		operator.spoilt[identity.Instance][last].to = time.Now()
 	}
-	if leaving {
+	if draining {
 		operator.left[identity.Instance] = time.Now()
 	}
 }
 
-// spoil puts one of several bad entries in the place of a server's.
+// corruptEntry replaces a server's entry by one of several malformed ones, chosen by number.
 func (operator *operator) spoil(identity platformserver.Identity, number int) {
-	bad := []string{
+	malformed := []string{
 		"{", "null", "\x00\xff", `{"service": 7}`, `{"address": "", "state": "ready"}`,
 		fmt.Sprintf(`{"service": %q, "address": %q, "zone": %q, "slots": 16, "state": "away"}`, identity.Service, identity.Address, firstCentre),
 		fmt.Sprintf(`{"service": %q, "address": "here", "zone": %q, "slots": 16, "state": "ready"}`, identity.Service, firstCentre),
 	}
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	operator.put("keyed.servers", identity.Instance, []byte(bad[number%len(bad)]))
+	operator.put("keyed.servers", identity.Instance, []byte(malformed[number%len(malformed)]))
 	operator.spoilt[identity.Instance] = append(operator.spoilt[identity.Instance], spoilt{from: time.Now()})
 }
 
-// drop takes the entry of a server out of the store.
+// removeServerEntry deletes the entry of a server from the store.
 func (operator *operator) drop(identity platformserver.Identity) {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	operator.put("keyed.servers", identity.Instance, nil)
 }
 
-// leavings returns when the leaving of each server was acknowledged.
+// drainStarts returns a copy of drainingSince.
 func (operator *operator) leavings() map[string]time.Time {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault or of planned work.
 type Kind string
 
 // Kinds of faults and of planned work.
 const (
-	KindVMKill       Kind = "vm_kill"       // SIGKILL, and a new start
-	KindVMPause      Kind = "vm_pause"      // SIGSTOP, and SIGCONT
-	KindVMStop       Kind = "vm_stop"       // SIGTERM, and a new start
-	KindVMReload     Kind = "vm_reload"     // a changed settings file and SIGHUP
+	KindVMKill       Kind = "vm_kill"       // SIGKILL, then a restart
+	KindVMPause      Kind = "vm_pause"      // SIGSTOP, then SIGCONT
+	KindVMStop       Kind = "vm_stop"       // SIGTERM, then a restart
+	KindVMReload     Kind = "vm_reload"     // changed settings file and SIGHUP
 	KindAllKill      Kind = "all_kill"      // SIGKILL to all VMs at once
 	KindFrontReset   Kind = "front_reset"   // callers' connections to a VM are reset
-	KindFrontDelay   Kind = "front_delay"   // and delayed
-	KindStoreCut     Kind = "store_cut"     // a VM hears nothing from the store
-	KindStoreBusy    Kind = "store_busy"    // the store answers 503
-	KindStoreSilent  Kind = "store_silent"  // or nothing
-	KindStoreReset   Kind = "store_reset"   // or resets
-	KindStoreLost    Kind = "store_lost"    // or does what it is asked, and resets
-	KindStoreTrim    Kind = "store_trim"    // it forgets its history
-	KindStoreStale   Kind = "store_stale"   // open connections to it go silent for good
-	KindLinkStale    Kind = "link_stale"    // the same of those to a server
+	KindFrontDelay   Kind = "front_delay"   // callers' connections to a VM are delayed
+	KindStoreCut     Kind = "store_cut"     // connections of a VM to the store carry no data
+	KindStoreBusy    Kind = "store_busy"    // the store responds with status 503
+	KindStoreSilent  Kind = "store_silent"  // the store does not respond
+	KindStoreReset   Kind = "store_reset"   // the store resets connections
+	KindStoreLost    Kind = "store_lost"    // the store executes requests, then resets the connections
+	KindStoreTrim    Kind = "store_trim"    // the store trims its change history
+	KindStoreStale   Kind = "store_stale"   // open connections to the store never carry data again; new ones work
+	KindLinkStale    Kind = "link_stale"    // open connections to a server never carry data again; new ones work
 	KindLinkReset    Kind = "link_reset"    // connections to a server are reset
-	KindLinkSilent   Kind = "link_silent"   // and say nothing either way
-	KindLinkOneWay   Kind = "link_one_way"  // and lose the answers
-	KindServerErrors Kind = "server_errors" // answers 500
-	KindServerRefuse Kind = "server_refuse" // refuses
-	KindServerLost   Kind = "server_lost"   // runs requests and loses the answers
-	KindServerCut    Kind = "server_cut"    // breaks answers off
-	KindServerExtra  Kind = "server_extra"  // sends a second answer
-	KindServerHang   Kind = "server_hang"   // says nothing
+	KindLinkSilent   Kind = "link_silent"   // connections to a server carry no data in either direction
+	KindLinkOneWay   Kind = "link_one_way"  // connections to a server carry requests but no responses
+	KindServerErrors Kind = "server_errors" // responds with status 500
+	KindServerRefuse Kind = "server_refuse" // refuses requests
+	KindServerLost   Kind = "server_lost"   // runs requests and loses the responses
+	KindServerCut    Kind = "server_cut"    // truncates responses
+	KindServerExtra  Kind = "server_extra"  // sends a second response
+	KindServerHang   Kind = "server_hang"   // does not respond
 	KindServerSlow   Kind = "server_slow"   // takes four times as long
-	KindServerKill   Kind = "server_kill"   // dies; a new one comes at its address
-	KindServerLeave  Kind = "server_leave"  // says that it leaves, and does; a new one comes
-	KindConfigure    Kind = "configure"     // a new version of the configuration
-	KindRevoke       Kind = "revoke"        // a key is taken away
-	KindRequestCrash Kind = "request_crash" // callers ask for what crashes each server that runs it
-	KindServerRest   Kind = "server_rest"   // refuses, and asks for rest each time
-	KindServerSays   Kind = "server_says"   // says in its answers that it leaves, the store being away
-	KindStoreOlder   Kind = "store_older"   // it comes back from a copy; the others write again
-	KindBadEntry     Kind = "bad_entry"     // another writer spoils the entry of a server
-	KindEvacuate     Kind = "evacuate"      // the operator keeps requests from the servers of a data centre
-	KindServerLimit  Kind = "server_limit"  // names how many requests a second it takes from all VMs, and another number later
+	KindServerKill   Kind = "server_kill"   // ends abruptly; a new server starts at its address
+	KindServerLeave  Kind = "server_leave"  // drains through its entry in the store and ends; a new server starts
+	KindConfigure    Kind = "configure"     // new version of the configuration
+	KindRevoke       Kind = "revoke"        // an API key is revoked
+	KindRequestCrash Kind = "request_crash" // callers send a request that crashes each server that runs it
+	KindServerRest   Kind = "server_rest"   // refuses requests and requests backoff each time
+	KindServerSays   Kind = "server_says"   // drains and advertises it in responses only, as the store is unavailable
+	KindStoreOlder   Kind = "store_older"   // store rollback: restored from an older copy; writers write their records again
+	KindBadEntry     Kind = "bad_entry"     // another writer replaces the entry of a server by a malformed one
+	KindEvacuate     Kind = "evacuate"      // the operator evacuates a data centre: its servers must get no requests
+	KindServerLimit  Kind = "server_limit"  // advertises a rate limit for all VMs together, then another one
 )
 
-// Kinds returns all kinds in order, but for those that have runs of their own (see extra): a drawn plan stays what it
-// was for the seeds that failed once.
+// Kinds returns the kinds that random plans draw from, in order. Kinds that were added later are in extraKind instead, so
+// that the plans of seeds that failed once stay the same.
 func Kinds() []Kind {
 	return []Kind{
 		KindVMKill, KindVMPause, KindVMStop, KindVMReload, KindAllKill, KindFrontReset, KindFrontDelay,
@@ -63,18 +63,18 @@
 	}
 }
 
-// planned reports whether a kind is planned work, which may cost no request.
+// planned reports whether a kind is planned work, during which no request may be lost.
 func (kind Kind) planned() bool {
 	return slices.Contains([]Kind{KindVMStop, KindVMReload, KindServerLeave, KindServerSays, KindBadEntry, KindConfigure, KindRevoke, KindEvacuate}, kind)
 }
 
-// ofStore reports whether a kind strikes the store, or the way to it.
+// affectsStore reports whether a kind affects the store or the connections to it.
 func (kind Kind) ofStore() bool {
 	return strings.HasPrefix(string(kind), "store_")
 }
 
-// disturbs reports whether a kind strikes a VM or the store, so that bounds of time
-// do not count.
+// suspendsBounds reports whether a kind affects a VM or the store, so that time bounds
+// do not apply while it is active.
 func (kind Kind) disturbs() bool {
 	if kind.ofStore() || kind == KindAllKill {
 		return true
@@ -82,13 +82,13 @@
 	return strings.HasPrefix(string(kind), "vm_") || strings.HasPrefix(string(kind), "front_")
 }
 
-// Event is one fault of a plan.
+// Event is one fault, or one piece of planned work, of a plan.
 type Event struct {
-	// At is when it begins, from the start of the load, and For how long it lasts.
+	// At is when it begins, relative to the start of the load, and For how long it lasts.
 	At   time.Duration
 	For  time.Duration
 	Kind Kind
-	// Target picks the VM or server, modulo how many there are.
+	// Target selects the VM or server, modulo their count.
 	Target int
 }
 
@@ -97,54 +97,56 @@
 	return fmt.Sprintf("%s at %s for %s on %d", event.Kind, event.At, event.For, event.Target)
 }
 
-// Times of a plan.
+// Parameters of a plan.
 const (
-	// quietStart is the time without faults at the start: that after which a VM is
-	// held to its bounds.
+	// quietStart is the time without faults at the start, after which VMs must meet
+	// their bounds.
 	quietStart = 1500 * time.Millisecond
-	// quietEnd is the time at the end in which no fault begins: the longest one, the
-	// time for which a server that failed is left out, and two calm seconds.
+	// quietEnd is the time at the end in which no fault begins: the longest fault, the
+	// ejection time of a failed server, and two seconds without faults.
 	quietEnd = 9 * time.Second
-	// longestFault bounds how long a fault lasts, but for those of the store, which
-	// last longer than a key may be served unproved.
+	// longestFault bounds the duration of a fault, except of those of the store: they may
+	// last longer than a key may be accepted without confirmation from the store.
 	longestFault      = 3 * time.Second
 	longestStoreFault = 6500 * time.Millisecond
 	shortestFault     = 200 * time.Millisecond
-	// limitTime is how long a server names limits: some windows in which they count.
+	// rateLimitDuration is how long a server advertises rate limits: several times limitWindow.
 	limitTime = 9 * time.Second
-	// oftenPerSecond is how many faults begin in a second, about, and
-	// seldomPerSecond in every third run, in which a server leaves, and VMs and the
-	// store are well: bounds that count only then are checked there.
+	// frequentFaultsPerSecond is about how many faults begin per second, and
+	// rareFaultsPerSecond the same for seeds divisible by three. In their runs a server drains
+	// and neither VMs nor the store have faults, so that bounds which apply only then are checked.
 	oftenPerSecond  = 1.3
 	seldomPerSecond = 0.35
-	// extraSeeds is of how many runs one has each of the extra kinds, and extraFrom the first seed that has others than
-	// KindRequestCrash.
+	// extraSeedInterval is the distance between seeds with the same extra kind, and firstExtraSeed the first seed that
+	// has one other than KindRequestCrash.
 	extraSeeds = 5
 	extraFrom  = 100
-	// limitFrom is the first seed in whose runs servers name limits.
+	// firstRateLimitSeed is the first seed in whose runs servers advertise rate limits.
 	limitFrom = 200
-	// evacuateFrom is the first seed in whose runs data centres are evacuated, and evacuateSeeds of how many one has that.
+	// firstEvacuationSeed is the first seed in whose runs data centres are evacuated, and evacuationSeedInterval the
+	// distance between such seeds.
 	evacuateFrom  = 300
 	evacuateSeeds = 10
-	// extraEvents is how often each of them but KindRequestCrash comes in its runs.
+	// extraEvents is the number of events of an extra kind in a run, except of KindRequestCrash, of which there is one.
 	extraEvents = 3
-	// followPart is the part of the faults of the store that last as long as they may
-	// and during which a key is taken away: who cannot know must not serve it.
+	// followUpFraction is the fraction of store faults that get the longest duration and
+	// a key revocation followUpDelay after their start: a VM that cannot confirm the key
+	// must not accept it.
 	followPart  = 0.5
 	followAfter = 300 * time.Millisecond
 )
 
-// NewPlan returns the faults of a run of that length. The same seed gives the same
-// plan.
+// NewPlan returns the events of a run of that length, ordered by time, or nil when it is
+// too short for any. The same seed and length give the same plan.
 func NewPlan(seed uint64, length time.Duration) []Event {
-	random := rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // no secret
-	space := length - quietStart - quietEnd
-	if space <= 0 {
+	random := rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // not security-sensitive
+	window := length - quietStart - quietEnd
+	if window <= 0 {
 		return nil
 	}
 	draw := func(kind Kind, longest time.Duration) Event {
 		return Event{
-			At:     (quietStart + time.Duration(random.Int64N(int64(space)))).Round(time.Millisecond),
+			At:     (quietStart + time.Duration(random.Int64N(int64(window)))).Round(time.Millisecond),
 			For:    (shortestFault + time.Duration(random.Int64N(int64(longest-shortestFault)))).Round(time.Millisecond),
 			Kind:   kind,
 			Target: random.IntN(1 << 16),
@@ -158,7 +160,7 @@
 		kinds = slices.DeleteFunc(kinds, Kind.disturbs)
 		events = append(events, draw(KindServerLeave, longestFault))
 	}
-	for range 1 + int(space.Seconds()*perSecond) {
+	for range 1 + int(window.Seconds()*perSecond) {
 		kind := kinds[random.IntN(len(kinds))]
 		if !kind.ofStore() {
 			events = append(events, draw(kind, longestFault))
@@ -171,7 +173,7 @@
 		}
 		events = append(events, event)
 	}
-	random = rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // no secret
+	random = rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // not security-sensitive
 	switch kind := extra(seed); kind {
 	case "":
 	case KindRequestCrash:
@@ -189,7 +191,7 @@
 	return events
 }
 
-// extraTime is how long a fault of an extra kind lasts that was drawn to last so long.
+// extraDuration returns the duration of a fault of an extra kind, given the randomly drawn one.
 func extraTime(kind Kind, drawn time.Duration) time.Duration {
 	switch kind {
 	case KindStoreOlder:
@@ -197,11 +199,11 @@
 	case KindServerLimit:
 		return limitTime
 	default:
-		return longestStoreFault // what comes long after it began is what shows
+		return longestStoreFault // violations show only long after the start
 	}
 }
 
-// extra returns the kind that the run of a seed has beside those that are drawn, or nothing.
+// extraKind returns the kind that the run of a seed has in addition to the drawn ones, or an empty string.
 func extra(seed uint64) Kind {
 	number := seed % extraSeeds
 	switch {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// restartPause is how long after its end a process is started again.
+// restartPause is the time between the end of a process and its restart.
 const restartPause = 300 * time.Millisecond
 
-// process is one gateway process, started again whenever it ends.
+// process runs a gateway process and restarts it whenever it ends.
 type process struct {
 	program string
 	args    []string
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	running *exec.Cmd
 	closing bool
-	// lives has when each life began, and ends when each ended.
+	// startTimes and endTimes hold when each incarnation began and ended.
 	lives []time.Time
 	ends  []time.Time
 	done  chan struct{}
@@ -35,7 +35,7 @@
 	return process
 }
 
-// keep starts the process until it is closed.
+// supervise starts the process again and again until it is closed or cannot start.
 func (process *process) keep() {
 	defer close(process.done)
 	for {
@@ -43,7 +43,7 @@
 		if command == nil {
 			return
 		}
-		_ = command.Wait() // how it ended shows in its output
+		_ = command.Wait() // the output shows why it ended
 		process.mu.Lock()
 		process.running = nil
 		process.ends = append(process.ends, time.Now())
@@ -52,18 +52,18 @@
 	}
 }
 
-// start starts the process, or returns nil when it is closed or cannot start.
+// start starts the process. It returns nil when the process is closed or cannot start.
 func (process *process) start() *exec.Cmd {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	if process.closing {
 		return nil
 	}
-	command := exec.Command(process.program, process.args...) //nolint:gosec,noctx // the gateway; ended by its id
+	command := exec.Command(process.program, process.args...) //nolint:gosec,noctx // the program is a setting; close kills the process
 	command.Env = append(os.Environ(), process.env...)
 	command.Stdout, command.Stderr = process.output, process.output
 	if err := command.Start(); err != nil {
-		_, _ = process.output.WriteString(errors.Wrap(err, "start").Error() + "\n") // nowhere else to say it
+		_, _ = process.output.WriteString(errors.Wrap(err, "start gateway").Error() + "\n") // the output is the only log
 		return nil
 	}
 	process.running = command
@@ -71,16 +71,16 @@
 	return command
 }
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process, if it is running.
 func (process *process) signal(signal syscall.Signal) {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	if process.running != nil {
-		_ = process.running.Process.Signal(signal) // it may have ended just now
+		_ = process.running.Process.Signal(signal) // fails only if the process has just ended
 	}
 }
 
-// close ends the process for good.
+// close kills the process and waits until it has ended. It is not restarted.
 func (process *process) close() {
 	process.mu.Lock()
 	process.closing = true
@@ -90,7 +90,7 @@
 	<-process.done
 }
 
-// life returns which life of the process a time falls into, from one.
+// incarnation returns the number of starts of the process up to a time.
 func (process *process) life(at time.Time) int {
 	process.mu.Lock()
 	defer process.mu.Unlock()
@@ -103,20 +103,20 @@
 	return count
 }
 
-// servingTime is how long after its start a process serves at the latest.
+// servingTime is how long after its start a process must serve at the latest.
 const servingTime = 500 * time.Millisecond
 
-// down reports whether the process was away, or just starting, at any time in a
-// span.
+// down reports whether the process was not running, or still starting, at any time in
+// a span.
 func (process *process) down(from, to time.Time) bool {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	for life, end := range process.ends {
-		back := end.Add(restartPause + servingTime)
-		if life+1 < len(process.lives) {
-			back = process.lives[life+1].Add(servingTime)
+	for index, end := range process.ends {
+		servesFrom := end.Add(restartPause + servingTime)
+		if index+1 < len(process.lives) {
+			servesFrom = process.lives[index+1].Add(servingTime)
 		}
-		if end.Before(to) && back.After(from) {
+		if end.Before(to) && servesFrom.After(from) {
 			return true
 		}
 	}
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,29 +8,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// mode is how a proxy treats connections.
+// mode is how a proxy handles connections.
 type mode int
 
 const (
 	modePass mode = iota
-	// modeDelay holds all bytes up.
+	// modeDelay delays each chunk of data by proxyDelay.
 	modeDelay
-	// modeSilent passes nothing on, modeOneWay nothing of what comes back.
+	// modeSilent forwards no data, and modeOneWay only data towards the target.
 	modeSilent
 	modeOneWay
-	// modeReset resets all connections, also new ones.
+	// modeReset resets all connections, including new ones.
 	modeReset
 )
 
 const (
 	// proxyDelay is what modeDelay adds to each read.
 	proxyDelay = 150 * time.Millisecond
-	// proxyBuffer is the most that is passed on at once.
+	// proxyBufferBytes bounds how much is forwarded at once.
 	proxyBuffer = 16 << 10
 	proxyDial   = time.Second
 )
 
-// proxy passes connections on over loopback, and misbehaves when told to.
+// proxy is a TCP proxy on loopback addresses that simulates network faults according to its mode.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -38,15 +38,15 @@
 	mu      sync.Mutex
 	mode    mode
 	changed chan struct{}
-	// conns has the open connections, and whether each is silent for good.
+	// conns holds the open connections; true means that data from it is discarded until it closes.
 	conns map[net.Conn]bool
 }
 
-// newProxy returns a proxy at listen for target.
+// newProxy starts a proxy that listens on listen and forwards to target.
 func newProxy(listen, target string) (*proxy, error) {
 	listener, err := net.Listen("tcp4", listen) //nolint:noctx // closed by close
 	if err != nil {
-		return nil, errors.Wrap(err, "proxy")
+		return nil, errors.Wrap(err, "listen for proxy")
 	}
 	proxy := &proxy{
 		listener: listener, target: target, changed: make(chan struct{}), conns: make(map[net.Conn]bool),
@@ -60,11 +60,11 @@
 }
 
 func (proxy *proxy) close() {
-	_ = proxy.listener.Close() // nothing is left to lose
+	_ = proxy.listener.Close() // an error leaves nothing to do
 	proxy.set(modeReset)
 }
 
-// set changes how connections are treated from now on.
+// setMode changes the mode for open and new connections.
 func (proxy *proxy) set(mode mode) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// silence makes the connections that are open now silent for good. New ones work.
+// silenceOpen discards all further data of the connections that are open now. New connections work.
 func (proxy *proxy) silence() {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -87,32 +87,32 @@
 	}
 }
 
-// silent reports whether a connection is silent for good.
+// isSilenced reports whether data from a connection is discarded.
 func (proxy *proxy) silent(conn net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	return proxy.conns[conn]
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // else it is closed in order
+		_ = tcp.SetLinger(0) // on an error the connection closes with a FIN
 	}
-	_ = conn.Close() // nothing is left to lose
+	_ = conn.Close() // an error leaves nothing to do
 }
 
 func (proxy *proxy) serve() {
 	for {
 		conn, err := proxy.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		go proxy.pass(conn)
 	}
 }
 
-// keep notes a connection. It reports false, and resets it, in modeReset.
+// track records an open connection. In modeReset it resets the connection and returns false.
 func (proxy *proxy) keep(conn net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -128,43 +128,43 @@
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	delete(proxy.conns, conn)
-	_ = conn.Close() // it may be closed already
+	_ = conn.Close() // fails only if it is closed already
 }
 
-func (proxy *proxy) pass(front net.Conn) {
-	if !proxy.keep(front) {
+func (proxy *proxy) pass(downstream net.Conn) {
+	if !proxy.keep(downstream) {
 		return
 	}
-	defer proxy.drop(front)
-	back, err := net.DialTimeout("tcp4", proxy.target, proxyDial) //nolint:noctx // bounded
+	defer proxy.drop(downstream)
+	upstream, err := net.DialTimeout("tcp4", proxy.target, proxyDial) //nolint:noctx // bounded by its timeout
 	if err != nil {
-		reset(front)
+		reset(downstream)
 		return
 	}
-	if !proxy.keep(back) {
+	if !proxy.keep(upstream) {
 		return
 	}
-	defer proxy.drop(back)
+	defer proxy.drop(upstream)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		proxy.copy(front, back, true)
-		_ = front.Close() // the other direction ends
+		proxy.copy(downstream, upstream, true)
+		_ = downstream.Close() // ends the copy in the other direction
 	}()
-	proxy.copy(back, front, false)
-	_ = back.Close() // the other direction ends
+	proxy.copy(upstream, downstream, false)
+	_ = upstream.Close() // ends the copy in the other direction
 	<-done
 }
 
-// copy passes bytes on in one direction until either end is closed.
-func (proxy *proxy) copy(to, from net.Conn, backwards bool) {
+// copy forwards data in one direction until either end is closed.
+func (proxy *proxy) copy(to, from net.Conn, fromTarget bool) {
 	buffer := make([]byte, proxyBuffer)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			proxy.hold(backwards)
+			proxy.hold(fromTarget)
 			if proxy.silent(from) {
-				continue // read on, so that its peer sees no full window
+				continue // keep reading, so that the sender's TCP window does not fill
 			}
 			if _, err := to.Write(buffer[:count]); err != nil {
 				return
@@ -176,8 +176,8 @@
 	}
 }
 
-// hold waits while the mode lets nothing through in that direction.
-func (proxy *proxy) hold(backwards bool) {
+// awaitMode blocks while the mode forwards nothing in that direction, and delays data in modeDelay.
+func (proxy *proxy) hold(fromTarget bool) {
 	for {
 		proxy.mu.Lock()
 		mode, changed := proxy.mode, proxy.changed
@@ -186,7 +186,7 @@
 		case mode == modeDelay:
 			time.Sleep(proxyDelay)
 			return
-		case mode == modeSilent, mode == modeOneWay && backwards:
+		case mode == modeSilent, mode == modeOneWay && fromTarget:
 			<-changed
 		default:
 			return
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo answers each byte with itself, on each connection.
+// echo starts a TCP echo server and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	return listener.Addr().String()
 }
 
-// says reports whether a connection echoes a byte within a time.
+// echoes reports whether a byte comes back on a connection within a time.
 func says(t *testing.T, conn net.Conn, within time.Duration) bool {
 	t.Helper()
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(within)))
@@ -39,10 +39,11 @@
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return false
 	}
-	assert.NilError(t, err, "only silence shows it")
+	assert.NilError(t, err, "the connection fails otherwise than by a timeout")
 	return true
 }
 
+// A silenced connection that carries data again after a mode change would not simulate a stale connection.
 func TestSilencedConnectionsStaySilentAndNewOnesWork(t *testing.T) {
 	proxy, err := newProxy("127.0.0.1:0", echo(t))
 	assert.NilError(t, err)
@@ -59,5 +60,5 @@
 	assert.Assert(t, !says(t, open, 100*time.Millisecond))
 	assert.Assert(t, says(t, dial(), 5*time.Second))
 	proxy.set(modePass)
-	assert.Assert(t, !says(t, open, 100*time.Millisecond), "for good")
+	assert.Assert(t, !says(t, open, 100*time.Millisecond), "a mode change must not revive a silenced connection")
 }
--- /dev/null
+++ b/internal/soak/ratelimit.go
@@ -0,0 +1,108 @@
+package soak
+
+import (
+	"slices"
+	"time"
+)
+
+// The platform's bounds on the requests that may reach a server which advertises a rate limit.
+const (
+	// rateLimitNotice is the time from the first advertisement until the limit must be observed, and vmNotice the time after
+	// which the requests of a VM that received an advertisement are counted.
+	limitNotice = 3 * time.Second
+	toldNotice  = 500 * time.Millisecond
+	// limitWindow is the time over which requests are counted. In it rateLimitFactor times what the limit allows, and
+	// limitSlack more requests, may reach the server.
+	limitWindow = 4 * time.Second
+	limitTimes  = 1.5
+	limitSlack  = 5
+)
+
+// limitedArrival is a request that reached a server, with the VM that sent it.
+type counted struct {
+	arrived
+
+	vm string
+}
+
+// checkRateLimits reports servers that got more requests than their advertised limit allows, from all VMs that had
+// received an advertisement.
+func (observations *evidence) checkLimits(pairs map[pair][]arrived, add addFunc) {
+	byServer := make(map[string][]counted)
+	for pair, arrivals := range pairs {
+		for _, arrival := range arrivals {
+			byServer[pair.instance] = append(byServer[pair.instance], counted{arrived: arrival, vm: pair.vm})
+		}
+	}
+	for instance, arrivals := range byServer {
+		slices.SortFunc(arrivals, func(a, b counted) int { return a.At.Compare(b.At) })
+		for _, span := range limitedSpans(arrivals) {
+			observations.checkLimit(instance, span, add)
+		}
+	}
+}
+
+// rateLimitedSpans splits the requests of a server into spans throughout which it advertised a limit.
+func limitedSpans(arrivals []counted) [][]counted {
+	var spans [][]counted
+	from := 0
+	for index := range arrivals {
+		if !arrivals[index].Limited {
+			from = index + 1
+			continue
+		}
+		if index+1 == len(arrivals) || !arrivals[index+1].Limited {
+			spans = append(spans, arrivals[from:index+1])
+		}
+	}
+	return spans
+}
+
+// checkRateLimit checks the requests of one span and reports at most one violation.
+func (observations *evidence) checkLimit(instance string, span []counted, add addFunc) {
+	receivedAt := make(map[string]time.Time)
+	var first time.Time
+	for _, arrival := range span {
+		relayed := arrival.outcome.answered() && arrival.outcome.Seal == instance
+		if _, known := receivedAt[arrival.vm]; relayed && !known {
+			receivedAt[arrival.vm] = arrival.outcome.Ended
+		}
+		if relayed && (first.IsZero() || arrival.outcome.Ended.Before(first)) {
+			first = arrival.outcome.Ended
+		}
+	}
+	if first.IsZero() {
+		return
+	}
+	for index, arrival := range span {
+		from := arrival.At
+		if from.Before(first.Add(limitNotice)) {
+			continue
+		}
+		count, limit := observations.countWindow(span, index, receivedAt)
+		allowed := int(limitTimes*limit*limitWindow.Seconds()) + limitSlack
+		if count > allowed && !observations.linkStruck(from.Add(-limitNotice), from.Add(limitWindow)) {
+			add(PromiseLimit, "%d requests reached %s in %s, allowed %d at a limit of %v per second", count, instance, limitWindow, allowed, limit)
+			return
+		}
+	}
+}
+
+// countWindow returns how many requests of VMs that had received an advertisement arrived in the window that begins with
+// the given one, and the highest limit in force from rateLimitNotice before the window to its end.
+func (observations *evidence) countWindow(span []counted, first int, receivedAt map[string]time.Time) (count int, highest float64) {
+	from := span[first].At
+	to := from.Add(limitWindow)
+	for _, arrival := range span {
+		if arrival.At.Before(from.Add(-limitNotice)) || !arrival.At.Before(to) {
+			continue
+		}
+		highest = max(highest, arrival.Limit)
+		received, known := receivedAt[arrival.vm]
+		counts := known && arrival.At.After(received.Add(toldNotice))
+		if counts && !arrival.At.Before(from) && !observations.paused(arrival.vm, from.Add(-limitNotice), to) {
+			count++
+		}
+	}
+	return count, highest
+}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,19 +14,20 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// startTime is how long VMs have to be ready before the load starts.
+// startupTime is how long VMs have to get ready before the load starts.
 const startTime = 1500 * time.Millisecond
 
 const (
-	// calmBefore is how long after the last fault may begin all must be well again, if it is over by then.
+	// recoveryTime is how long after the latest possible start of a fault the system must have recovered, if the fault
+	// has ended by then.
 	calmBefore = 7 * time.Second
-	// settleTime is in what time VMs must know that a fault is over, as their bounds have it.
+	// settleTime bounds how long VMs take to detect that a fault has ended.
 	settleTime = 2 * time.Second
-	// calmTime is how long callers go on from then.
+	// faultFreeTime is how long callers keep sending from then on.
 	calmTime = quietEnd - calmBefore
 )
 
-// Result is what one run showed.
+// Result summarises one run.
 type Result struct {
 	Seed       uint64
 	Faults     map[Kind]int
@@ -36,17 +37,18 @@
 	Violations []Violation
 }
 
-// DefaultSettings returns the settings of a usual run.
+// DefaultSettings returns the settings of a run without Program, Dir and Seed.
 func DefaultSettings() Settings {
 	return Settings{Length: 19 * time.Second, VMs: 3, Engines: 5, Plains: 3, Callers: 12, Network: 40}
 }
 
-// Run plays the run of one seed.
+// Run performs the run of settings.Seed. Violations are in the result; an error means that the run could not be
+// performed.
 func Run(ctx context.Context, settings Settings) (Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	world, err := newWorld(ctx, settings)
-	defer world.close()
+	environment, err := newWorld(ctx, settings)
+	defer environment.close()
 	if err != nil {
 		return Result{}, errors.Wrapf(err, "soak of seed %d", settings.Seed)
 	}
@@ -55,73 +57,74 @@
 	}
 	plan := NewPlan(settings.Seed, settings.Length)
 	start := time.Now()
-	outcomes, calm := world.load(ctx, plan, start.Add(settings.Length-calmTime))
+	outcomes, faultFreeFrom := environment.load(ctx, plan, start.Add(settings.Length-calmTime))
 	wait.For(ctx, boundFree)
-	evidence := &evidence{
-		outcomes: outcomes, harmful: world.harmful.all(), runs: make(map[string][]platformserver.Run), log: world.log, operator: world.operator,
-		arrivals: world.record.Arrivals(),
-		calm:     calm, life: world.life, down: world.down,
+	observations := &evidence{
+		outcomes: outcomes, harmful: environment.harmful.all(), runs: make(map[string][]platformserver.Run), log: environment.log, operator: environment.operator,
+		arrivals: environment.record.Arrivals(),
+		calm:     faultFreeFrom, life: environment.life, down: environment.down,
 	}
-	for _, run := range world.record.Runs() {
-		evidence.runs[run.ID] = append(evidence.runs[run.ID], run)
+	for _, run := range environment.record.Runs() {
+		observations.runs[run.ID] = append(observations.runs[run.ID], run)
 	}
-	violations := append(evidence.check(), world.checkMemory()...)
+	violations := append(observations.check(), environment.checkMemory()...)
 	return newResult(settings.Seed, plan, outcomes, violations), nil
 }
 
-// load plays callers and faults side by side. It returns what callers saw, and when all was calm: from a moment on, or later
-// where a fault lasted longer, as those of servers do that leave.
-func (world *world) load(ctx context.Context, plan []Event, calm time.Time) ([]Outcome, time.Time) {
+// runLoad runs callers and faults concurrently. It returns the callers' outcomes and the start of the fault-free time: the
+// given one, or settleTime after the last fault ended if that is later, as it may be for draining servers.
+func (environment *world) load(ctx context.Context, plan []Event, faultFreeFrom time.Time) ([]Outcome, time.Time) {
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	var outcomes []Outcome
-	for number := range world.settings.Callers {
-		all.Go(func() {
-			seen := newCaller(world, number).run(loading)
+	for number := range environment.settings.Callers {
+		running.Go(func() {
+			sent := newCaller(environment, number).run(loading)
 			mu.Lock()
 			defer mu.Unlock()
-			outcomes = append(outcomes, seen...)
+			outcomes = append(outcomes, sent...)
 		})
 	}
-	world.inject(ctx, plan)
-	if settled := time.Now().Add(settleTime); settled.After(calm) {
-		calm = settled
+	environment.inject(ctx, plan)
+	if settled := time.Now().Add(settleTime); settled.After(faultFreeFrom) {
+		faultFreeFrom = settled
 	}
-	wait.For(ctx, time.Until(calm.Add(calmTime)))
+	wait.For(ctx, time.Until(faultFreeFrom.Add(calmTime)))
 	stop()
-	all.Wait()
-	return outcomes, calm
+	running.Wait()
+	return outcomes, faultFreeFrom
 }
 
-func (world *world) vm(name string) *vm {
-	return world.vms[slices.IndexFunc(world.vms, func(vm *vm) bool { return vm.name == name })]
+func (environment *world) vm(name string) *vm {
+	return environment.vms[slices.IndexFunc(environment.vms, func(vm *vm) bool { return vm.name == name })]
 }
 
-// life returns which life of a VM's process a time falls into.
-func (world *world) life(name string, at time.Time) int {
-	return world.vm(name).process.life(at)
+// incarnation returns the number of starts of a VM's process up to a time.
+func (environment *world) life(name string, at time.Time) int {
+	return environment.vm(name).process.life(at)
 }
 
-// down reports whether a VM's process was away at any time in a span.
-func (world *world) down(name string, from, to time.Time) bool {
-	return world.vm(name).process.down(from, to)
+// down reports whether a VM's process was not running, or still starting, at any time in a span.
+func (environment *world) down(name string, from, to time.Time) bool {
+	return environment.vm(name).process.down(from, to)
 }
 
-// checkMemory looks for memory that is still set aside after the end.
-func (world *world) checkMemory() []Violation {
+// checkMemory returns the violations that stand-ins recorded, and one for each engine with memory still reserved after the
+// run.
+func (environment *world) checkMemory() []Violation {
 	var violations []Violation
-	for _, what := range world.record.Violations() {
-		violations = append(violations, Violation{Promise: PromiseMemory, What: what})
+	for _, detail := range environment.record.Violations() {
+		violations = append(violations, Violation{Promise: PromiseMemory, What: detail})
 	}
-	for _, backend := range world.backends {
+	for _, backend := range environment.backends {
 		if backend.engine == nil {
 			continue
 		}
 		if count, idle := backend.engine.Tickets(); count > 0 {
-			what := fmt.Sprintf("%d tickets at %s, unused for %s", count, backend.address, idle)
-			violations = append(violations, Violation{Promise: PromiseMemory, What: what})
+			detail := fmt.Sprintf("%d reservations left at %s, unused for %s", count, backend.address, idle)
+			violations = append(violations, Violation{Promise: PromiseMemory, What: detail})
 		}
 	}
 	return violations
@@ -137,7 +140,7 @@
 	for _, outcome := range outcomes {
 		status := fmt.Sprint(outcome.Status)
 		if !outcome.Whole {
-			status += " broken off"
+			status += " truncated"
 		}
 		result.Statuses[status]++
 		if outcome.answered() {
@@ -147,7 +150,7 @@
 	return result
 }
 
-// String implements fmt.Stringer: one line, and one more for each violation.
+// String implements fmt.Stringer. It returns one line, and one more for each violation.
 func (result Result) String() string {
 	faults := 0
 	for count := range maps.Values(result.Faults) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,7 +16,7 @@
 	"github.com/mastwinch/mastwinch/internal/soak"
 )
 
-// buildGateway builds the gateway as a program of its own.
+// buildGateway builds the gateway and returns the path of the program.
 func buildGateway(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "mw-gateway")
@@ -26,7 +26,7 @@
 	return program
 }
 
-// seeds returns the seeds that failed once, from their file.
+// seeds returns the seeds of runs that failed once, from testdata/soak-seeds.
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "soak-seeds"))
@@ -46,11 +46,11 @@
 	return found
 }
 
-// TestShortSoak plays a short run of one seed, and each seed that failed once, all
-// side by side.
+// TestShortSoak runs a short plan of one seed and, against regressions, the whole plan of each seed that failed
+// once. All run in parallel.
 func TestShortSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it takes some twenty seconds")
+		t.Skip("takes about twenty seconds")
 	}
 	program := buildGateway(t)
 	runs := map[uint64]time.Duration{1: 13 * time.Second}
