--- a/Makefile
+++ b/Makefile
@@ -5,34 +5,35 @@
 
 .PHONY: build capacity check demo fmt fuzz generate overhead test tools
 
-# build builds all programs into bin.
+# build compiles all programs into bin.
 build:
 	@mkdir -p bin
 	go build -o bin/ $(addprefix ./cmd/,$(programs))
 
-# demo runs the system with stand-ins and a mixed load.
+# demo runs the system with simulated platform services and a mixed load.
 demo: build
 	@scripts/demo.sh
 
-# overhead shows what the entries add to the first token.
+# overhead measures what the entries add to the time to first token.
 overhead: build
 	@scripts/overhead.sh
 
-# capacity measures how costs grow, for docs/CAPACITY.md.
+# capacity measures how the costs of the system grow with its size, for docs/CAPACITY.md.
 capacity: build
 	@bin/mw-load capacity
 
-# test runs all tests, but for those that match SKIP.
+# test runs all tests except those that match SKIP.
 test:
 	go test -race $(if $(SKIP),-skip '$(SKIP)') ./...
 
-# fuzz looks for broken promises for as long as FUZZTIME says, with new seeds.
+# fuzz runs the property test of internal/entry with random seeds for FUZZTIME.
 FUZZTIME ?= 5m
 fuzz:
 	go test ./internal/entry -run TestPromises -count=1 -timeout 0 -rapid.checks=1000000000 -rapid.seed=0 -promises.time=$(FUZZTIME)
 
-# check vets, lints, and tells whether files are formatted, generated code is
-# current, and every name that leaves the processes is still there.
+# check vets and lints the code, and fails when files are not formatted, generated code is
+# out of date, or a name on the list of external names (of wire messages, settings, stored
+# data and metrics) is missing.
 check: tools
 	go vet ./...
 	go run ./scripts/externalnames scripts/externalnames/names.txt
@@ -44,12 +45,12 @@
 fmt: tools
 	$(linter) fmt ./...
 
-# generate makes the wire types anew; it needs protoc.
+# generate regenerates the wire types. It needs protoc.
 generate: tools
 	PATH="$(tools):$$PATH" protoc -I proto --go_out=. --go_opt=module=github.com/mastwinch/mastwinch proto/wire.proto
 
-# tools builds the tools that tools/go.mod and tools/gopls/go.mod declare; the
-# two need versions of modules that exclude each other.
+# tools builds the tools of tools/go.mod and tools/gopls/go.mod. They are separate modules
+# because they need incompatible versions of the same dependencies.
 tools: $(linter) $(gopls)
 
 $(linter): tools/go.mod tools/go.sum
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs stand-ins, three VMs' worth of entries and keepers, and a mixed load on
-# this machine. Exits non-zero when a promise was broken.
+# Runs simulated platform services, entries and keepers as of three VMs, and a mixed
+# load on this machine. Exits non-zero when the load generator reports a violation.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/system.sh
-echo "starting stand-ins, three keepers and three entries, and adding three organisations (logs in $logs)"
+echo "starting the stand-ins for the platform, three keepers and three entries, and adding three organisations (logs in $logs)"
 start_system
-echo "running the load: short requests alone, then with long ones"
+echo "running the load: short requests only, then short and long ones"
 bin/mw-load --config $config/load.yaml "$@"
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Runs the load of the demo while things go wrong. Each argument is
-# "SECONDS ACTION ...", the actions being
-#   kill NAME     end a process at once (entry1, keeper2, ...)
-#   term NAME     ask a process to stop
-#   pause NAME    freeze a process, and wake NAME to let it go on
+# Runs the load of the demo and injects faults. Each argument is
+# "SECONDS ACTION ...", with the time since the start of the load and one of the actions
+#   kill NAME     send SIGKILL to a process (entry1, keeper2, ...)
+#   term NAME     send SIGTERM to a process
+#   pause NAME    send SIGSTOP to a process
+#   wake NAME     send SIGCONT to a process
 #   start NAME    start a process again
-#   fault JSON    change what goes wrong at the stand-ins
-# LOAD names another file of load settings.
+#   fault JSON    set the faults that the stand-ins for the platform simulate
+# LOAD is the path of a file of load settings, instead of that of the demo.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/system.sh
--- a/scripts/mixed.sh
+++ b/scripts/mixed.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs two builds of the programs beside each other, OLD and NEW being folders
-# of binaries (as `make build` fills bin), and fails when a promise is broken:
-#   gateways  four VMs, two of either build, on the platform's stand-ins, with the
-#             faults of SEEDS
-#   hand-over entries and keepers of NEW read the log and the checkpoints that those
-#             of OLD wrote
-#   entries   entries and keepers of both, of which one of either build is killed,
-#             and one entry of either is stopped and started again
+# Tests that two builds of the programs work together. OLD and NEW are directories of
+# binaries, as `make build` writes them to bin. Fails when an invariant is violated in
+#   gateways   four VMs, two of each build, on simulated platform services, with the
+#              faults that mw-soak injects for each of SEEDS
+#   hand-over  entries and keepers of NEW that read the log and the checkpoints which
+#              those of OLD wrote
+#   entries    entries and keepers of both builds; one keeper of each build is killed
+#              and one entry of each is stopped, and all four are restarted
 set -euo pipefail
 if [ $# -ne 2 ]; then
   echo "usage: scripts/mixed.sh OLD NEW" >&2
@@ -16,9 +16,9 @@
 new=$(realpath "$2")
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
-SEEDS=${SEEDS:-292 340} # VMs killed and stopped, servers that ask for rest or name limits
+SEEDS=${SEEDS:-292 340} # their plans kill and stop VMs and make servers request backoff or advertise rate limits
 
-# The soak starts each gateway with the settings file of its VM, vm-1.json and so on.
+# mw-soak sets MASTWINCH_NODE_FILE of each gateway to the settings file of its VM, such as vm-1.json.
 cat >"$work/gateway" <<EOF
 #!/bin/sh
 case \$MASTWINCH_NODE_FILE in
@@ -27,7 +27,7 @@
 esac
 EOF
 chmod +x "$work/gateway"
-echo "gateways of both builds, settings checked by the new one"
+echo "gateways: both builds, after a check of the settings by the new one"
 "$new/mw-gateway" --check --site examples/mixed/site.json --config deploy/gateway.yaml
 for seed in $SEEDS; do
   "$new/mw-soak" --gateway "$work/gateway" --vms 4 --from "$seed" --keep "$work/soak"
@@ -42,7 +42,8 @@
 declare -A bin_of=([standin]=$old)
 source scripts/system.sh
 
-# restart NAME FOLDER SIGNAL ends a process and starts that of a build.
+# restart NAME DIRECTORY SIGNAL sends a signal to a process, waits for its end and starts it again from the
+# binaries in a directory.
 restart() {
   kill "-$3" "${pids[$1]}"
   wait "${pids[$1]}" 2>/dev/null || true
@@ -50,7 +51,7 @@
   start "$1"
 }
 
-echo "hand-over: all processes of the old build, then all of the new one"
+echo "hand-over: all entries and keepers of the old build, then all of the new one"
 start_system
 "$old/mw-load" --config "$config/load.yaml"
 "$old/mastwinch" organisation list >"$work/organisations.old"
@@ -63,7 +64,7 @@
 diff "$work/organisations.old" "$work/organisations.new"
 "$new/mw-load" --config "$config/load.yaml"
 
-echo "entries: VM 1 and the keeper of VM 3 of the old build, the rest of the new one"
+echo "entries: VM 1 and the keeper of VM 3 run the old build, the others the new one"
 restart keeper1 "$old" TERM
 restart entry1 "$old" TERM
 restart keeper3 "$old" TERM
@@ -82,4 +83,4 @@
 wait $load
 "$old/mastwinch" --entry http://127.0.0.1:7002 organisation list >"$work/organisations.both"
 diff "$work/organisations.old" "$work/organisations.both"
-echo "all promises held; logs in $work and $logs"
+echo "no violations; logs in $work and $logs"
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Shows what the entries add to the first token: half of the callers go straight
-# to the engines, in the same run.
+# Measures what the entries add to the time to first token: in one run, half of the
+# requests go directly to the engines.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 config=examples/overhead
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,11 +1,11 @@
-# Functions to run stand-ins and three VMs' worth of the system on this
-# machine; to be sourced. Everything that was started is stopped on exit.
+# Functions that run simulated platform services, and entries and keepers as of three
+# VMs, on this machine. To be sourced. All processes are stopped on exit.
 config=${config:-examples/demo}
 logs=$(mktemp -d)
-# bin is the folder of the programs, and bin_of that of a single process.
+# bin is the directory of the programs; bin_of overrides it by process name.
 bin=${bin:-bin}
 declare -A pids bin_of
-# POLICY names another routing policy than that of the settings.
+# POLICY overrides the routing policy of the settings.
 if [ -n "${POLICY:-}" ]; then
   cp -r "$config" "$logs/config"
   config=$logs/config
@@ -22,7 +22,7 @@
 }
 trap stop_all EXIT
 
-# start NAME: one process of the system, or the stand-ins.
+# start NAME starts an entry, a keeper or the stand-ins for the platform.
 start() {
   local name=$1 program
   case $name in
@@ -34,13 +34,15 @@
   pids[$name]=$!
 }
 
+# await_ready NAME ADDRESS waits until the entry at an address is ready. It checks every 100 ms
+# and fails after 100 checks.
 await_ready() {
   local name=$1 address=$2
   for _ in $(seq 100); do
     if "$bin/mastwinch" --entry "http://$address" ready >/dev/null 2>&1; then return; fi
     sleep 0.1
   done
-  echo "$name did not get ready; its log is in $logs" >&2
+  echo "$name did not become ready; its log is in $logs" >&2
   exit 1
 }
 
@@ -54,5 +56,5 @@
   for name in register lawyers accountants; do
     "$bin/mastwinch" organisation put --weight 1 --max-concurrent 512 $name
   done
-  sleep 0.5 # until all entries have read them
+  sleep 0.5 # until all entries have received them
 }
