--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs simulated platform services, entries and keepers as of three VMs, and a mixed
+# Runs simulated platform services, the entries and keepers of three VMs, and a mixed
 # load on this machine. Exits non-zero when the load generator reports a violation.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,4 +1,4 @@
-# Functions that run simulated platform services, and entries and keepers as of three
+# Functions that run simulated platform services, and the entries and keepers of three
 # VMs, on this machine. To be sourced. All processes are stopped on exit.
 config=${config:-examples/demo}
 logs=$(mktemp -d)
