--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -133,13 +133,13 @@
 	}
 }
 
-func (request *request) stream(route string, in, out int) {
+func (request *request) stream(route string, promptTokens, outputTokens int) {
 	request.outcome.Route = route
-	request.header["Token-Counts"] = fmt.Sprintf("%d,%d", in, out)
+	request.header["Token-Counts"] = fmt.Sprintf("%d,%d", promptTokens, outputTokens)
 	request.header["Model"] = "m"
 	request.header["Prefix-Hash"] = "5c1e07a2:40"
 	body := &strings.Builder{}
-	for event := range platformserver.UsersModel().Events(out) {
+	for event := range platformserver.UsersModel().Events(outputTokens) {
 		body.WriteString(platformserver.Event(request.outcome.ID, event+1))
 	}
 	request.outcome.Want = body.String()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -66,7 +66,7 @@
 	life func(vm string, at time.Time) int
 	// down reports whether a VM's process was not running at any time in a span.
 	down func(vm string, from, to time.Time) bool
-	// faultFreeFrom is when the last fault had ended and VMs had to have recovered.
+	// faultFreeFrom is the time by which all faults have ended and the VMs must have recovered.
 	calm time.Time
 }
 
@@ -184,8 +184,9 @@
 	}
 }
 
-// checkDraining reports requests that reached a draining server although every VM could read of the drain. It goes by
-// arrival: a request that arrived before the drain may start to run long after, queued behind others at its server.
+// checkDraining reports requests that reached a draining server after the bound within which every VM must observe the
+// drain. The time of arrival counts, not that of the run: a request that arrived earlier may start to run long after,
+// queued behind others at its server.
 func (observations *evidence) checkLeaving(add addFunc) {
 	drainStarts := observations.operator.leavings()
 	for _, arrival := range observations.arrivals {
@@ -197,7 +198,8 @@
 	}
 }
 
-// checkMalformedEntries reports requests that reached a server while its entry was malformed, although every VM could read that.
+// checkMalformedEntries reports requests that reached a server whose entry was malformed, after the bound within which
+// every VM must observe that.
 func (observations *evidence) checkBad(add addFunc) {
 	for _, arrival := range observations.arrivals {
 		for _, corruption := range observations.operator.spoilt[arrival.Instance] {
@@ -209,8 +211,8 @@
 	}
 }
 
-// checkEvacuated reports requests that reached servers of an evacuated data centre although every VM could read of the
-// evacuation.
+// checkEvacuated reports requests that reached servers of an evacuated data centre after the bound within which every VM
+// must observe the evacuation.
 func (observations *evidence) checkEvacuated(add addFunc) {
 	for _, evacuation := range observations.operator.evacuations() {
 		deadline := evacuation.from.Add(boundEvacuate + slackLeaving)
@@ -227,7 +229,8 @@
 	}
 }
 
-// boundsSuspended reports whether a fault of a VM or the store was active in a span, so that time bounds do not apply.
+// boundsSuspended reports whether a fault that affects VMs or the store was active in a span, so that time bounds do not
+// apply.
 func (observations *evidence) disturbed(from, to time.Time) bool {
 	return slices.ContainsFunc(observations.log.between(from, to), func(span span) bool {
 		return span.kind.disturbs()
@@ -238,17 +241,17 @@
 // the same incarnation.
 func (observations *evidence) checkForward(add addFunc) {
 	type servedRoute struct {
-		vm    string
-		life  int
-		route string
+		vm          string
+		incarnation int
+		route       string
 	}
 	served := make(map[servedRoute]time.Time)
 	keyOf := func(outcome Outcome) servedRoute {
-		return servedRoute{vm: outcome.VM, life: observations.life(outcome.VM, outcome.Sent), route: outcome.Route}
+		return servedRoute{vm: outcome.VM, incarnation: observations.life(outcome.VM, outcome.Sent), route: outcome.Route}
 	}
 	for _, outcome := range observations.outcomes {
 		at := keyOf(outcome)
-		sameIncarnation := observations.life(outcome.VM, outcome.Ended) == at.life
+		sameIncarnation := observations.life(outcome.VM, outcome.Ended) == at.incarnation
 		if first, ok := served[at]; sameIncarnation && outcome.answered() && (!ok || outcome.Ended.Before(first)) {
 			served[at] = outcome.Ended
 		}
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -28,11 +28,16 @@
 
 // Time bounds that VMs must meet in a run, as on the users' small sites.
 const (
-	boundDrain   = 2 * time.Second
-	boundGrace   = 8 * time.Second
-	boundRevoke  = 5 * time.Second
+	// boundDrain is the time until a draining server, or one with a malformed entry, gets no more requests.
+	boundDrain = 2 * time.Second
+	// boundGrace is the time until a VM's process has ended after SIGTERM.
+	boundGrace = 8 * time.Second
+	// boundRevoke is the time until a revoked key is rejected.
+	boundRevoke = 5 * time.Second
+	// boundContact is the time until VMs have recovered from a fault, or have quarantined a request that crashes servers.
 	boundContact = 3 * time.Second
-	boundFree    = 4 * time.Second
+	// boundMemoryRelease is the time until the memory of ended requests is released at the engines.
+	boundFree = 4 * time.Second
 	// boundEvacuate is the configured time until an evacuation is in force.
 	boundEvacuate = 2 * time.Second
 )
@@ -45,6 +50,7 @@
 	Seed    uint64
 	Length  time.Duration
 	VMs     int
+	// Engines and Plains are the numbers of model engines and of servers of the plain service.
 	Engines int
 	Plains  int
 	Callers int
--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -30,8 +30,8 @@
 	return firstCentre
 }
 
-// evacuate begins or ends an evacuation of a data centre. Overlapping evacuations are counted; the data centre is back in
-// service when the last one has ended.
+// evacuate begins or ends an evacuation of a data centre. Evacuations may overlap; the data centre is back in service when
+// the last one has ended.
 func (operator *operator) evacuate(dataCentre string, begin bool) {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -233,8 +233,8 @@
 	environment.operator.rewrite()
 }
 
-// Rate limits that a server advertises, in requests per second: minRateLimit plus a multiple of rateLimitStep, of which
-// there are rateLimitSteps, from zero on.
+// Rate limits that a server advertises, in requests per second: minRateLimit + n*rateLimitStep, with n from zero to
+// rateLimitSteps-1.
 const (
 	limitLeast = 0.3
 	limitStep  = 0.9
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -105,16 +105,16 @@
 	// quietEnd is the time at the end in which no fault begins: the longest fault, the
 	// ejection time of a failed server, and two seconds without faults.
 	quietEnd = 9 * time.Second
-	// longestFault bounds the duration of a fault, except of those of the store: they may
-	// last longer than a key may be accepted without confirmation from the store.
+	// longestFault bounds the duration of faults. For those of the store longestStoreFault does,
+	// which is longer than a VM may accept a key without confirmation from the store.
 	longestFault      = 3 * time.Second
 	longestStoreFault = 6500 * time.Millisecond
 	shortestFault     = 200 * time.Millisecond
-	// rateLimitDuration is how long a server advertises rate limits: several times limitWindow.
+	// rateLimitDuration is how long a server advertises rate limits: more than two rateLimitWindows.
 	limitTime = 9 * time.Second
-	// frequentFaultsPerSecond is about how many faults begin per second, and
-	// rareFaultsPerSecond the same for seeds divisible by three. In their runs a server drains
-	// and neither VMs nor the store have faults, so that bounds which apply only then are checked.
+	// frequentFaultsPerSecond is the approximate rate at which faults begin, and
+	// rareFaultsPerSecond that in runs of seeds divisible by three. In these a server drains and
+	// neither VMs nor the store have faults, so that bounds which apply only then are checked.
 	oftenPerSecond  = 1.3
 	seldomPerSecond = 0.35
 	// extraSeedInterval is the distance between seeds with the same extra kind, and firstExtraSeed the first seed that
--- a/internal/soak/ratelimit.go
+++ b/internal/soak/ratelimit.go
@@ -11,14 +11,14 @@
 	// which the requests of a VM that received an advertisement are counted.
 	limitNotice = 3 * time.Second
 	toldNotice  = 500 * time.Millisecond
-	// limitWindow is the time over which requests are counted. In it rateLimitFactor times what the limit allows, and
-	// limitSlack more requests, may reach the server.
+	// rateLimitWindow is the time over which requests are counted. In it rateLimitFactor times what the limit allows, plus
+	// rateLimitSlack requests, may reach the server.
 	limitWindow = 4 * time.Second
 	limitTimes  = 1.5
 	limitSlack  = 5
 )
 
-// limitedArrival is a request that reached a server, with the VM that sent it.
+// vmArrival is a request that reached a server, with the VM that sent it.
 type counted struct {
 	arrived
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// rateLimitedSpans splits the requests of a server into spans throughout which it advertised a limit.
+// rateLimitedSpans returns the runs of consecutive requests during which a server advertised a limit throughout.
 func limitedSpans(arrivals []counted) [][]counted {
 	var spans [][]counted
 	from := 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -37,7 +37,7 @@
 	Violations []Violation
 }
 
-// DefaultSettings returns the settings of a run without Program, Dir and Seed.
+// DefaultSettings returns the default settings of a run. The caller must set Program, Dir and Seed.
 func DefaultSettings() Settings {
 	return Settings{Length: 19 * time.Second, VMs: 3, Engines: 5, Plains: 3, Callers: 12, Network: 40}
 }
