--- a/internal/soak/arrivals.go
+++ b/internal/soak/arrivals.go
@@ -11,58 +11,58 @@
 // The platform's bounds on the requests that may reach a server which requested backoff.
 const (
 	// backoffNotice is how long after the refusal the backoff must be observed.
-	restNotice = 500 * time.Millisecond
+	backoffNotice = 500 * time.Millisecond
 	// maxBackoffSends is how many requests of the VM may reach the server from then on until the backoff ends.
-	restSends = 2
+	maxBackoffSends = 2
 )
 
 // vmServer identifies a VM and a server.
-type pair struct {
+type vmServer struct {
 	vm, instance string
 }
 
 // arrivalOutcome is a request that reached a server, with its caller's outcome.
-type arrived struct {
+type arrivalOutcome struct {
 	platformserver.Arrival
 
 	outcome Outcome
 }
 
 // arrivalsByPair returns the requests that reached each server from each VM, ordered by time of arrival.
-func (observations *evidence) byPair() map[pair][]arrived {
+func (observations *observations) arrivalsByPair() map[vmServer][]arrivalOutcome {
 	outcomes := make(map[string]Outcome, len(observations.outcomes))
 	for _, outcome := range observations.outcomes {
 		outcomes[outcome.ID] = outcome
 	}
-	pairs := make(map[pair][]arrived)
+	pairs := make(map[vmServer][]arrivalOutcome)
 	for _, arrival := range observations.arrivals {
 		outcome, known := outcomes[arrival.ID]
 		if !known {
 			continue
 		}
-		key := pair{vm: outcome.VM, instance: arrival.Instance}
-		pairs[key] = append(pairs[key], arrived{Arrival: arrival, outcome: outcome})
+		key := vmServer{vm: outcome.VM, instance: arrival.Instance}
+		pairs[key] = append(pairs[key], arrivalOutcome{Arrival: arrival, outcome: outcome})
 	}
 	for _, arrivals := range pairs {
-		slices.SortFunc(arrivals, func(a, b arrived) int { return a.At.Compare(b.At) })
+		slices.SortFunc(arrivals, func(a, b arrivalOutcome) int { return a.At.Compare(b.At) })
 	}
 	return pairs
 }
 
 // checkDrainingResponses reports requests that a VM sent to a server after it had relayed a response in which the server
 // advertised that it drains. Only a stop or pause of the VM's process excuses one.
-func (observations *evidence) checkSaid(pairs map[pair][]arrived, add addFunc) {
+func (observations *observations) checkDrainingResponses(pairs map[vmServer][]arrivalOutcome, add addFunc) {
 	for pair, arrivals := range pairs {
 		for _, first := range arrivals {
-			relayed := first.outcome.answered() && first.outcome.Seal == pair.instance
+			relayed := first.outcome.succeeded() && first.outcome.Seal == pair.instance
 			if !first.Draining || !relayed {
 				continue
 			}
 			relayedAt := first.outcome.Ended
 			for _, later := range arrivals {
 				late := later.outcome.Sent.Sub(relayedAt)
-				if late > boundDrain && !observations.paused(pair.vm, relayedAt, later.At) {
-					add(PromiseSaid, "%s reached %s from %s, sent %s after the server advertised draining", later.ID, pair.instance, pair.vm, late)
+				if late > boundDrain && !observations.interrupted(pair.vm, relayedAt, later.At) {
+					add(InvariantDrainingResponse, "%s reached %s from %s, sent %s after the server advertised draining", later.ID, pair.instance, pair.vm, late)
 				}
 			}
 			break
@@ -71,26 +71,26 @@
 }
 
 // checkBackoffs reports requests that reached a server during the backoff that it had requested of the VM.
-func (observations *evidence) checkRests(pairs map[pair][]arrived, add addFunc) {
+func (observations *observations) checkBackoffs(pairs map[vmServer][]arrivalOutcome, add addFunc) {
 	for pair, arrivals := range pairs {
 		for _, refused := range arrivals {
-			from, to := refused.At.Add(restNotice), refused.At.Add(refused.Backoff)
+			from, to := refused.At.Add(backoffNotice), refused.At.Add(refused.Backoff)
 			count := 0
 			for _, later := range arrivals {
 				if later.At.After(from) && later.At.Before(to) {
 					count++
 				}
 			}
-			if count > restSends && !observations.paused(pair.vm, refused.At, to) && !observations.linkStruck(refused.At, to) {
-				add(PromiseRest, "%d requests reached %s from %s in a backoff of %s", count, pair.instance, pair.vm, refused.Backoff)
+			if count > maxBackoffSends && !observations.interrupted(pair.vm, refused.At, to) && !observations.linkFaulty(refused.At, to) {
+				add(InvariantBackoff, "%d requests reached %s from %s in a backoff of %s", count, pair.instance, pair.vm, refused.Backoff)
 			}
 		}
 	}
 }
 
 // interrupted reports whether a VM's process ended, started or was suspended in a span.
-func (observations *evidence) paused(vm string, from, to time.Time) bool {
-	if observations.down(vm, from, to) || observations.life(vm, from) != observations.life(vm, to) {
+func (observations *observations) interrupted(vm string, from, to time.Time) bool {
+	if observations.down(vm, from, to) || observations.incarnation(vm, from) != observations.incarnation(vm, to) {
 		return true
 	}
 	return slices.ContainsFunc(observations.log.between(from, to), func(span span) bool {
@@ -99,8 +99,8 @@
 }
 
 // linkFaulty reports whether a link fault was active in a span or up to backoffNotice before it.
-func (observations *evidence) linkStruck(from, to time.Time) bool {
-	return slices.ContainsFunc(observations.log.between(from.Add(-restNotice), to), func(span span) bool {
+func (observations *observations) linkFaulty(from, to time.Time) bool {
+	return slices.ContainsFunc(observations.log.between(from.Add(-backoffNotice), to), func(span span) bool {
 		return strings.HasPrefix(string(span.kind), "link_")
 	})
 }
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -31,43 +31,43 @@
 	// RetryAfter is the delay from the Retry-After header, or zero.
 	RetryAfter time.Duration
 	// Complete reports whether the response body ended properly by HTTP framing.
-	Whole bool
-	Body  string
+	Complete bool
+	Body     string
 	// WantBody is the body of a complete response.
-	Want string
-	Err  string
+	WantBody string
+	Err      string
 }
 
 // succeeded reports whether the caller got a complete response with status 200.
-func (outcome Outcome) answered() bool {
-	return outcome.Whole && outcome.Status == http.StatusOK
+func (outcome Outcome) succeeded() bool {
+	return outcome.Complete && outcome.Status == http.StatusOK
 }
 
 // Parameters of the callers' requests.
 const (
-	shortTokens = 2000
-	shortOut    = 430
-	longOut     = 200
+	shortTokens       = 2000
+	shortOutputTokens = 430
+	longOutputTokens  = 200
 	// minLongTokens and maxLongTokens bound long prompts; the longest need several engines.
-	longMin = 40_000
-	longMax = 260_000
+	minLongTokens = 40_000
+	maxLongTokens = 260_000
 	// maxThinkTime bounds the random pause between requests.
-	thinkTime = 60 * time.Millisecond
+	maxThinkTime = 60 * time.Millisecond
 	// callerMargin is how long a caller waits beyond the route's timeout.
-	patience = 6 * time.Second
+	callerMargin = 6 * time.Second
 )
 
 // caller sends requests sequentially over keep-alive connections.
 type caller struct {
-	world  *world
-	random *rand.Rand
-	client *http.Client
+	environment *environment
+	random      *rand.Rand
+	client      *http.Client
 }
 
-func newCaller(environment *world, number int) *caller {
+func newCaller(environment *environment, number int) *caller {
 	seed := environment.settings.Seed*1000 + uint64(number) //nolint:gosec // small non-negative number
 	return &caller{
-		world: environment, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // not security-sensitive
+		environment: environment, random: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // not security-sensitive
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 			// Idle connections stay open until the VM closes them.
@@ -82,9 +82,9 @@
 	defer caller.client.CloseIdleConnections()
 	var outcomes []Outcome
 	for ctx.Err() == nil {
-		outcome := caller.ask(caller.draw())
+		outcome := caller.send(caller.nextRequest())
 		outcomes = append(outcomes, outcome)
-		wait.For(ctx, outcome.RetryAfter+time.Duration(caller.random.Int64N(int64(thinkTime))))
+		wait.For(ctx, outcome.RetryAfter+time.Duration(caller.random.Int64N(int64(maxThinkTime))))
 	}
 	return outcomes
 }
@@ -98,27 +98,27 @@
 }
 
 // nextRequest returns the next random request.
-func (caller *caller) draw() request {
-	vm := caller.world.vms[caller.random.IntN(len(caller.world.vms))]
+func (caller *caller) nextRequest() request {
+	vm := caller.environment.vms[caller.random.IntN(len(caller.environment.vms))]
 	id := fmt.Sprintf("%016x", caller.random.Uint64())
-	next := newRequest(vm, id, caller.world.operator.someKey(caller.random.IntN(1<<16)))
+	next := newRequest(vm, id, caller.environment.operator.keyByNumber(caller.random.IntN(1<<16)))
 	switch route := caller.random.IntN(100); {
 	case route < 40:
-		next.stream(routeStream, shortTokens, shortOut)
+		next.setStream(routeStream, shortTokens, shortOutputTokens)
 	case route < 48:
-		next.stream(routeLong, longMin+caller.random.IntN(longMax-longMin), longOut)
+		next.setStream(routeLong, minLongTokens+caller.random.IntN(maxLongTokens-minLongTokens), longOutputTokens)
 	case route < 58:
-		next.stream(routeOnce, shortTokens, shortOut)
+		next.setStream(routeOnce, shortTokens, shortOutputTokens)
 	case route < 75:
-		next.plain(http.MethodGet, routeSafe)
+		next.setPlain(http.MethodGet, routeSafe)
 	case route < 95:
-		next.plain(http.MethodPost, routeUnsafe)
+		next.setPlain(http.MethodPost, routeUnsafe)
 	default:
-		name := caller.world.operator.newestRoute()
+		name := caller.environment.operator.newestRoute()
 		if name == "" {
 			name = routeSafe
 		}
-		next.plain(http.MethodGet, name)
+		next.setPlain(http.MethodGet, name)
 	}
 	return next
 }
@@ -128,12 +128,12 @@
 	return request{
 		outcome: Outcome{ID: id, VM: vm.name, Key: key}, method: http.MethodPost, address: vm.front.address(),
 		header: map[string]string{
-			"Request-Id": id, "Authorization": "Bearer " + key, "Deadline-Ms": fmt.Sprint(timeout.Milliseconds()),
+			"Request-Id": id, "Authorization": "Bearer " + key, "Deadline-Ms": fmt.Sprint(routeTimeout.Milliseconds()),
 		},
 	}
 }
 
-func (request *request) stream(route string, promptTokens, outputTokens int) {
+func (request *request) setStream(route string, promptTokens, outputTokens int) {
 	request.outcome.Route = route
 	request.header["Token-Counts"] = fmt.Sprintf("%d,%d", promptTokens, outputTokens)
 	request.header["Model"] = "m"
@@ -142,19 +142,19 @@
 	for event := range platformserver.ProductionModel().EventCount(outputTokens) {
 		body.WriteString(platformserver.Event(request.outcome.ID, event+1))
 	}
-	request.outcome.Want = body.String()
+	request.outcome.WantBody = body.String()
 }
 
-func (request *request) plain(method, route string) {
+func (request *request) setPlain(method, route string) {
 	request.outcome.Route = route
 	request.method = method
-	request.outcome.Want = platformserver.PlainBody(request.outcome.ID)
+	request.outcome.WantBody = platformserver.PlainBody(request.outcome.ID)
 }
 
 // target is the path and query of a request, which servers must receive unchanged.
 func target(outcome Outcome) string {
-	if strings.HasPrefix(outcome.ID, harmfulID) {
-		return "/" + outcome.Route + "/" + harmfulID
+	if strings.HasPrefix(outcome.ID, crashingIDPrefix) {
+		return "/" + outcome.Route + "/" + crashingIDPrefix
 	}
 	return "/" + outcome.Route + "/x%2Fy?id=" + outcome.ID
 }
@@ -166,16 +166,16 @@
 
 // bodyOf returns the body of the POST request with that ID.
 func bodyOf(id string) string {
-	if strings.HasPrefix(id, harmfulID) {
-		return harmfulBody
+	if strings.HasPrefix(id, crashingIDPrefix) {
+		return crashingBody
 	}
 	return payload(id)
 }
 
 // send sends one request and reads the whole response.
-func (caller *caller) ask(request request) Outcome {
+func (caller *caller) send(request request) Outcome {
 	outcome := request.outcome
-	ctx, cancel := context.WithTimeout(context.Background(), timeout+patience)
+	ctx, cancel := context.WithTimeout(context.Background(), routeTimeout+callerMargin)
 	defer cancel()
 	var body io.Reader
 	if request.method == http.MethodPost {
@@ -201,7 +201,7 @@
 		outcome.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	content, err := io.ReadAll(bufio.NewReader(response.Body))
-	outcome.Ended, outcome.Body, outcome.Whole = time.Now(), string(content), err == nil
+	outcome.Ended, outcome.Body, outcome.Complete = time.Now(), string(content), err == nil
 	if err != nil {
 		outcome.Err = err.Error()
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -13,19 +13,19 @@
 )
 
 // runStart is when the constructed runs begin.
-func start() time.Time {
+func runStart() time.Time {
 	return time.Unix(1000, 0)
 }
 
 func at(duration time.Duration) time.Time {
-	return start().Add(duration)
+	return runStart().Add(duration)
 }
 
 // served returns a successful outcome that violates nothing, and its run at the server.
 func served(id, route string) (Outcome, platformserver.Run) {
 	outcome := Outcome{
 		ID: id, Route: route, VM: "vm-0", Key: permanentKey, Sent: at(time.Second), Ended: at(2 * time.Second),
-		Status: http.StatusOK, Seal: "i-1", Whole: true, Body: "body", Want: "body",
+		Status: http.StatusOK, Seal: "i-1", Complete: true, Body: "body", WantBody: "body",
 	}
 	run := platformserver.Run{
 		ID: id, Instance: "i-1", Organisation: organisation, Target: target(outcome), At: at(1100 * time.Millisecond),
@@ -38,58 +38,58 @@
 func TestCheck(t *testing.T) {
 	type fixture struct {
 		outcome      *Outcome
-		observations *evidence
+		observations *observations
 	}
 	tests := map[string]struct {
 		route  string
 		change func(test fixture)
-		want   []Promise
+		want   []Invariant
 	}{
 		"no violation": {route: routeStream, change: func(fixture) {}},
 		"at-most-once request run twice": {route: routeUnsafe, change: func(test fixture) {
 			test.observations.runs["r"] = append(test.observations.runs["r"], test.observations.runs["r"][0])
-		}, want: []Promise{PromiseOnce}},
+		}, want: []Invariant{InvariantAtMostOnce}},
 		"repeatable request run twice": {route: routeSafe, change: func(test fixture) {
 			test.observations.runs["r"] = append(test.observations.runs["r"], test.observations.runs["r"][0])
 		}},
 		"refused request run": {route: routeUnsafe, change: func(test fixture) {
 			test.outcome.Status = http.StatusServiceUnavailable
-		}, want: []Promise{PromiseNotRun}},
+		}, want: []Invariant{InvariantRefusedNotRun}},
 		"missing event in a successful response": {route: routeStream, change: func(test fixture) {
 			test.outcome.Body = "bod"
-		}, want: []Promise{PromiseWhole}},
+		}, want: []Invariant{InvariantCompleteResponse}},
 		"bytes of another response": {route: routeStream, change: func(test fixture) {
-			test.outcome.Body, test.outcome.Whole = "other", false
-		}, want: []Promise{PromiseWhole}},
+			test.outcome.Body, test.outcome.Complete = "other", false
+		}, want: []Invariant{InvariantCompleteResponse}},
 		"missing server seal": {route: routeStream, change: func(test fixture) {
 			test.outcome.Seal = ""
-		}, want: []Promise{PromiseWhole}},
+		}, want: []Invariant{InvariantCompleteResponse}},
 		"truncated response that the caller detects": {route: routeStream, change: func(test fixture) {
-			test.outcome.Body, test.outcome.Whole = "bo", false
+			test.outcome.Body, test.outcome.Complete = "bo", false
 		}},
 		"API key forwarded to a server": {route: routeStream, change: func(test fixture) {
 			test.observations.runs["r"][0].KeySeen = true
-		}, want: []Promise{PromiseUnaltered}},
+		}, want: []Invariant{InvariantUnalteredRequest}},
 		"wrong organisation forwarded": {route: routeStream, change: func(test fixture) {
 			test.observations.runs["r"][0].Organisation = "other"
-		}, want: []Promise{PromiseUnaltered}},
+		}, want: []Invariant{InvariantUnalteredRequest}},
 		"path changed": {route: routeStream, change: func(test fixture) {
 			test.observations.runs["r"][0].Target = "/chat/x/y"
-		}, want: []Promise{PromiseUnaltered}},
+		}, want: []Invariant{InvariantUnalteredRequest}},
 		"run of a request that no caller sent": {route: routeStream, change: func(test fixture) {
 			test.observations.runs["x"] = test.observations.runs["r"]
-		}, want: []Promise{PromiseUnaltered}},
+		}, want: []Invariant{InvariantUnalteredRequest}},
 		"revoked key accepted": {route: routeStream, change: func(test fixture) {
 			test.outcome.Key = "key-1"
 			test.observations.operator.keys[1].revoked = at(-5 * time.Second)
-		}, want: []Promise{PromiseRevoked}},
+		}, want: []Invariant{InvariantRevokedKey}},
 		"key accepted within the revocation bound": {route: routeStream, change: func(test fixture) {
 			test.outcome.Key = "key-1"
 			test.observations.operator.keys[1].revoked = at(-3 * time.Second)
 		}},
 		"response after the timeout": {route: routeStream, change: func(test fixture) {
 			test.outcome.Ended = at(9 * time.Second)
-		}, want: []Promise{PromiseTime}},
+		}, want: []Invariant{InvariantTimely}},
 		"response after the timeout of a paused VM": {route: routeStream, change: func(test fixture) {
 			test.outcome.Ended = at(9 * time.Second)
 			test.observations.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-0"})
@@ -97,135 +97,135 @@
 		"response after the timeout while another VM is paused": {route: routeStream, change: func(test fixture) {
 			test.outcome.Ended = at(9 * time.Second)
 			test.observations.log.add(span{from: at(3 * time.Second), to: at(5 * time.Second), kind: KindVMPause, vm: "vm-1"})
-		}, want: []Promise{PromiseTime}},
+		}, want: []Invariant{InvariantTimely}},
 		"valid request rejected": {route: routeSafe, change: func(test fixture) {
 			test.outcome.Status = http.StatusUnauthorized
-		}, want: []Promise{PromiseDenied}},
+		}, want: []Invariant{InvariantValidAccepted}},
 		"connection lost in a planned stop": {route: routeStream, change: func(test fixture) {
-			test.outcome.Err, test.outcome.Whole = "reset", false
+			test.outcome.Err, test.outcome.Complete = "reset", false
 			test.observations.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMStop, vm: "vm-0"})
-		}, want: []Promise{PromiseLost}},
+		}, want: []Invariant{InvariantNoneLost}},
 		"sent while the VM process is down": {route: routeStream, change: func(test fixture) {
-			test.outcome.Err, test.outcome.Status, test.outcome.Whole, test.outcome.Body = "reset", 0, false, ""
+			test.outcome.Err, test.outcome.Status, test.outcome.Complete, test.outcome.Body = "reset", 0, false, ""
 			test.observations.runs = nil
 		}},
 		"connection lost without a response": {route: routeStream, change: func(test fixture) {
-			test.outcome.Err, test.outcome.Status, test.outcome.Whole, test.outcome.Body = "reset", 0, false, ""
-		}, want: []Promise{PromiseLost}},
+			test.outcome.Err, test.outcome.Status, test.outcome.Complete, test.outcome.Body = "reset", 0, false, ""
+		}, want: []Invariant{InvariantNoneLost}},
 		"connection lost after the timeout": {route: routeStream, change: func(test fixture) {
-			test.outcome.Err, test.outcome.Whole, test.outcome.Ended = "reset", false, at(7*time.Second)
+			test.outcome.Err, test.outcome.Complete, test.outcome.Ended = "reset", false, at(7*time.Second)
 		}},
 		"connection lost when the VM is killed": {route: routeStream, change: func(test fixture) {
-			test.outcome.Err, test.outcome.Whole = "reset", false
+			test.outcome.Err, test.outcome.Complete = "reset", false
 			test.observations.log.add(span{from: at(0), to: at(9 * time.Second), kind: KindVMKill, vm: "vm-0"})
 		}},
 		"arrival at a draining server": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.left["i-1"] = at(-4 * time.Second)
-			test.observations.reaches(at(time.Second))
-		}, want: []Promise{PromiseLeaving}},
+			test.observations.operator.drainingSince["i-1"] = at(-4 * time.Second)
+			test.observations.addArrival(at(time.Second))
+		}, want: []Invariant{InvariantDrainingEntry}},
 		"arrival at a draining server without a run": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.left["i-1"] = at(-4 * time.Second)
-			test.observations.reaches(at(time.Second))
+			test.observations.operator.drainingSince["i-1"] = at(-4 * time.Second)
+			test.observations.addArrival(at(time.Second))
 			test.observations.runs = nil
-		}, want: []Promise{PromiseLeaving}},
+		}, want: []Invariant{InvariantDrainingEntry}},
 		"arrival before the server drains": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.left["i-1"] = at(-4 * time.Second)
-			test.observations.reaches(at(-5 * time.Second))
+			test.observations.operator.drainingSince["i-1"] = at(-4 * time.Second)
+			test.observations.addArrival(at(-5 * time.Second))
 		}},
 		"arrival at a draining server while the store is unavailable": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.left["i-1"] = at(-4 * time.Second)
-			test.observations.reaches(at(time.Second))
+			test.observations.operator.drainingSince["i-1"] = at(-4 * time.Second)
+			test.observations.addArrival(at(time.Second))
 			test.observations.log.add(span{from: at(-5 * time.Second), to: at(-4 * time.Second), kind: KindStoreBusy})
 		}},
 		"return to an older configuration": {route: "v7", change: func(test fixture) {
 			later := *test.outcome
 			later.ID, later.Sent, later.Ended, later.Status = "later", at(3*time.Second), at(4*time.Second), http.StatusNotFound
 			test.observations.outcomes = append(test.observations.outcomes, later)
-		}, want: []Promise{PromiseForward}},
+		}, want: []Invariant{InvariantMonotonicConfiguration}},
 		"sent to a server that advertised draining": {route: routeStream, change: func(test fixture) {
-			test.observations.sendAgain(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
-		}, want: []Promise{PromiseSaid}},
+			test.observations.addLaterRequest(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
+		}, want: []Invariant{InvariantDrainingResponse}},
 		"sent within the bound after a server advertised draining": {route: routeStream, change: func(test fixture) {
-			test.observations.sendAgain(test.outcome, 2500*time.Millisecond, platformserver.Arrival{Draining: true})
+			test.observations.addLaterRequest(test.outcome, 2500*time.Millisecond, platformserver.Arrival{Draining: true})
 		}},
 		"sent to a server that advertised draining after a pause of the VM": {route: routeStream, change: func(test fixture) {
-			test.observations.sendAgain(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
+			test.observations.addLaterRequest(test.outcome, 3100*time.Millisecond, platformserver.Arrival{Draining: true})
 			test.observations.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
 		"arrival at a server with a malformed entry": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.spoilt["i-1"] = []spoilt{{from: at(-3 * time.Second), to: at(3 * time.Second)}}
+			test.observations.operator.corruptions["i-1"] = []corruption{{from: at(-3 * time.Second), to: at(3 * time.Second)}}
 			test.observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
-		}, want: []Promise{PromiseBad}},
+		}, want: []Invariant{InvariantMalformedEntry}},
 		"arrival after the entry is valid again": {route: routeStream, change: func(test fixture) {
-			test.observations.operator.spoilt["i-1"] = []spoilt{{from: at(-5 * time.Second), to: at(0)}}
+			test.observations.operator.corruptions["i-1"] = []corruption{{from: at(-5 * time.Second), to: at(0)}}
 			test.observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
 		}},
 		"arrival in an evacuated data centre": {route: routeStream, change: func(test fixture) {
-			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
-		}, want: []Promise{PromiseEvacuated}},
+			test.observations.arriveDuringEvacuation(evacuation{dataCentre: secondDataCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+		}, want: []Invariant{InvariantEvacuation}},
 		"arrival within the bound of an evacuation": {route: routeStream, change: func(test fixture) {
-			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-time.Second), to: at(3 * time.Second)})
+			test.observations.arriveDuringEvacuation(evacuation{dataCentre: secondDataCentre, from: at(-time.Second), to: at(3 * time.Second)})
 		}},
 		"arrival after the end of an evacuation": {route: routeStream, change: func(test fixture) {
-			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-5 * time.Second), to: at(0)})
+			test.observations.arriveDuringEvacuation(evacuation{dataCentre: secondDataCentre, from: at(-5 * time.Second), to: at(0)})
 		}},
 		"arrival while another data centre is evacuated": {route: routeStream, change: func(test fixture) {
-			test.observations.sendWhile(evacuated{dataCentre: firstCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+			test.observations.arriveDuringEvacuation(evacuation{dataCentre: firstDataCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
 		}},
 		"arrival in an evacuated data centre while the store is unavailable": {route: routeStream, change: func(test fixture) {
-			test.observations.sendWhile(evacuated{dataCentre: secondCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
+			test.observations.arriveDuringEvacuation(evacuation{dataCentre: secondDataCentre, from: at(-3 * time.Second), to: at(3 * time.Second)})
 			test.observations.log.add(span{from: at(-4 * time.Second), to: at(-2 * time.Second), kind: KindStoreBusy})
 		}},
 		"two arrivals during a backoff": {route: routeStream, change: func(test fixture) {
-			test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
-			test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{})
+			test.observations.addLaterRequest(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
+			test.observations.addLaterRequest(test.outcome, time.Second, platformserver.Arrival{})
 		}},
 		"three arrivals during a backoff": {route: routeStream, change: func(test fixture) {
-			for range restSends + 1 {
-				test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
+			for range maxBackoffSends + 1 {
+				test.observations.addLaterRequest(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
 			}
-		}, want: []Promise{PromiseRest}},
+		}, want: []Invariant{InvariantBackoff}},
 		"three arrivals during a backoff with a link fault": {route: routeStream, change: func(test fixture) {
-			for range restSends + 1 {
-				test.observations.sendAgain(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
+			for range maxBackoffSends + 1 {
+				test.observations.addLaterRequest(test.outcome, time.Second, platformserver.Arrival{Backoff: 2 * time.Second})
 			}
 			test.observations.log.add(span{from: at(time.Second), to: at(2 * time.Second), kind: KindLinkOneWay})
 		}},
 		"as many arrivals as a rate limit allows": {route: routeStream, change: func(test fixture) {
-			test.observations.sendLimited(test.outcome, limitSlack-1, 0)
+			test.observations.addRateLimitedRequests(test.outcome, rateLimitSlack-1, 0)
 		}},
 		"more arrivals than a rate limit allows": {route: routeStream, change: func(test fixture) {
-			test.observations.sendLimited(test.outcome, limitSlack, 0)
-		}, want: []Promise{PromiseLimit}},
+			test.observations.addRateLimitedRequests(test.outcome, rateLimitSlack, 0)
+		}, want: []Invariant{InvariantRateLimit}},
 		"more arrivals than a rate limit that was higher before": {route: routeStream, change: func(test fixture) {
-			test.observations.sendLimited(test.outcome, limitSlack, 1)
+			test.observations.addRateLimitedRequests(test.outcome, rateLimitSlack, 1)
 		}},
 		"more arrivals than a rate limit allows after a pause of the VM": {route: routeStream, change: func(test fixture) {
-			test.observations.sendLimited(test.outcome, limitSlack, 0)
+			test.observations.addRateLimitedRequests(test.outcome, rateLimitSlack, 0)
 			test.observations.log.add(span{from: at(3 * time.Second), to: at(4 * time.Second), kind: KindVMPause, vm: "vm-0"})
 		}},
 		"too few successes after the faults": {route: routeStream, change: func(test fixture) {
-			test.observations.calm = at(0)
-			for range fewest {
+			test.observations.faultFreeFrom = at(0)
+			for range minRecoveredRequests {
 				failed := *test.outcome
-				failed.ID, failed.Status, failed.Whole, failed.Body = "later", http.StatusBadGateway, true, ""
+				failed.ID, failed.Status, failed.Complete, failed.Body = "later", http.StatusBadGateway, true, ""
 				test.observations.outcomes = append(test.observations.outcomes, failed)
 			}
-		}, want: []Promise{PromiseRecovered}},
+		}, want: []Invariant{InvariantRecovery}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			outcome, run := served("r", test.route)
-			observations := &evidence{
+			observations := &observations{
 				outcomes: []Outcome{outcome}, runs: map[string][]platformserver.Run{"r": {run}}, log: &faultLog{},
-				operator: newOperator(metastore.New()), calm: at(time.Hour),
-				life: func(string, time.Time) int { return 1 },
-				down: func(string, time.Time, time.Time) bool { return name == "sent while the VM process is down" },
+				operator: newOperator(metastore.New()), faultFreeFrom: at(time.Hour),
+				incarnation: func(string, time.Time) int { return 1 },
+				down:        func(string, time.Time, time.Time) bool { return name == "sent while the VM process is down" },
 			}
 			test.change(fixture{outcome: &observations.outcomes[0], observations: observations})
-			var broken []Promise
+			var broken []Invariant
 			for _, violation := range observations.check() {
-				broken = append(broken, violation.Promise)
+				broken = append(broken, violation.Invariant)
 			}
 			assert.DeepEqual(t, broken, test.want)
 		})
@@ -233,9 +233,9 @@
 }
 
 // arriveDuringEvacuation replaces all arrivals by one at a server of the second data centre, with that evacuation.
-func (observations *evidence) sendWhile(period evacuated) {
-	observations.operator.centres["i-1"] = secondCentre
-	observations.operator.evacuated = []evacuated{period}
+func (observations *observations) arriveDuringEvacuation(period evacuation) {
+	observations.operator.dataCentres["i-1"] = secondDataCentre
+	observations.operator.evacuations = []evacuation{period}
 	observations.arrivals = []platformserver.Arrival{{ID: "r", Instance: "i-1", At: at(time.Second)}}
 }
 
@@ -247,13 +247,13 @@
 	assert.Assert(t, len(first) > 0)
 	assert.Assert(t, first[0] != other[0])
 	for _, event := range first {
-		assert.Assert(t, event.At >= quietStart && event.At < length-quietEnd+followAfter, "%s", event)
+		assert.Assert(t, event.At >= quietStart && event.At < length-quietEnd+followUpDelay, "%s", event)
 	}
 }
 
 // addLaterRequest adds a copy of an outcome that was sent later by the given time, and its arrival. If there are no
 // arrivals yet, it first adds the given one, as that of the original outcome.
-func (observations *evidence) sendAgain(outcome *Outcome, later time.Duration, first platformserver.Arrival) {
+func (observations *observations) addLaterRequest(outcome *Outcome, later time.Duration, first platformserver.Arrival) {
 	first.ID, first.Instance, first.At = outcome.ID, outcome.Seal, at(1100*time.Millisecond)
 	again := *outcome
 	again.ID = fmt.Sprintf("again-%d", len(observations.outcomes))
@@ -268,7 +268,7 @@
 
 // addRateLimitedRequests adds an arrival that makes a server's rate limit known to the VM, one 3 s after the VM relayed it,
 // with the limit before, and count more a second later, when the limit is zero.
-func (observations *evidence) sendLimited(outcome *Outcome, count int, before float64) {
+func (observations *observations) addRateLimitedRequests(outcome *Outcome, count int, before float64) {
 	observations.arrivals = append(observations.arrivals, platformserver.Arrival{
 		ID: outcome.ID, Instance: outcome.Seal, At: at(1100 * time.Millisecond), RateLimited: true,
 	})
@@ -286,6 +286,6 @@
 }
 
 // addArrival adds the arrival of the request at its server.
-func (observations *evidence) reaches(moment time.Time) {
+func (observations *observations) addArrival(moment time.Time) {
 	observations.arrivals = append(observations.arrivals, platformserver.Arrival{ID: "r", Instance: "i-1", At: moment})
 }
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -19,11 +19,11 @@
 
 // Ports of a run. Each process and proxy has a loopback address of its own.
 const (
-	portFront = 8001
-	portReady = 8002
-	portPeer  = 7340
-	portStore = 8003
-	portBack  = 8080
+	portFront   = 8001
+	portReady   = 8002
+	portPeer    = 7340
+	portStore   = 8003
+	portBackend = 8080
 )
 
 // Time bounds that VMs must meet in a run, as on the users' small sites.
@@ -37,7 +37,7 @@
 	// boundContact is the time until VMs have recovered from a fault, or have quarantined a request that crashes servers.
 	boundContact = 3 * time.Second
 	// boundMemoryRelease is the time until the memory of ended requests is released at the engines.
-	boundFree = 4 * time.Second
+	boundMemoryRelease = 4 * time.Second
 	// boundEvacuate is the configured time until an evacuation is in force.
 	boundEvacuate = 2 * time.Second
 )
@@ -73,16 +73,16 @@
 type backend struct {
 	service string
 	// address is the proxy's, which VMs connect to. serverAddress is the server's own.
-	address string
-	own     string
-	link    *proxy
+	address       string
+	serverAddress string
+	link          *proxy
 	// replacing is held while the server is replaced or its entry is malformed.
 	replacing sync.Mutex
 
 	mu sync.Mutex
 	// generation counts the servers started at the address.
-	life    int
-	standIn standIn
+	generation int
+	standIn    standIn
 	// engine is the stand-in if it is a model engine, and nil for a plain service.
 	engine *platformserver.Engine
 	server *http.Server
@@ -103,7 +103,7 @@
 )
 
 // environment holds the store, servers, VMs and records of one run.
-type world struct {
+type environment struct {
 	settings Settings
 	store    *metastore.Store
 	record   *platformserver.Record
@@ -112,23 +112,23 @@
 	vms      []*vm
 	backends []*backend
 	log      *faultLog
-	harmful  *harmfulLog
+	crashing *outcomeLog
 	closers  []func()
 }
 
-func (environment *world) ip(group, number int) string {
+func (environment *environment) ip(group, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", environment.settings.Network, group, number+1)
 }
 
 // newEnvironment starts the store, servers and VMs of a run. On an error it returns what was started, which the caller must
 // close too.
-func newWorld(ctx context.Context, settings Settings) (*world, error) {
-	environment := &world{
+func newEnvironment(ctx context.Context, settings Settings) (*environment, error) {
+	environment := &environment{
 		settings: settings, store: metastore.New(), record: &platformserver.Record{},
-		fleet: platformserver.NewFleet(), log: &faultLog{}, harmful: &harmfulLog{},
+		fleet: platformserver.NewFleet(), log: &faultLog{}, crashing: &outcomeLog{},
 	}
 	environment.operator = newOperator(environment.store)
-	environment.operator.twoCentres = extra(settings.Seed) == KindEvacuate
+	environment.operator.twoDataCentres = extraKind(settings.Seed) == KindEvacuate
 	storeAddress := net.JoinHostPort(environment.ip(0, 0), fmt.Sprint(portStore))
 	if err := environment.listen(storeAddress, environment.store); err != nil {
 		return environment, err
@@ -147,7 +147,7 @@
 	return environment, nil
 }
 
-func (environment *world) listen(address string, handler http.Handler) error {
+func (environment *environment) listen(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address) //nolint:noctx // closed by environment.close
 	if err != nil {
 		return errors.Wrap(err, "listen for store stand-in")
@@ -159,7 +159,7 @@
 }
 
 // close ends everything that was started and waits for the VMs' processes.
-func (environment *world) close() {
+func (environment *environment) close() {
 	var ending sync.WaitGroup
 	for _, vm := range environment.vms {
 		ending.Go(vm.process.close)
@@ -174,18 +174,18 @@
 }
 
 // addBackend starts the server with that number and its proxy. The first settings.Engines numbers are model engines.
-func (environment *world) addBackend(ctx context.Context, number int) error {
+func (environment *environment) addBackend(ctx context.Context, number int) error {
 	service := serviceEngines
 	if number >= environment.settings.Engines {
 		service = servicePlain
 	}
-	own := net.JoinHostPort(environment.ip(2, number), fmt.Sprint(portBack))
-	link, err := newProxy(net.JoinHostPort(environment.ip(3, number), fmt.Sprint(portBack)), own)
+	own := net.JoinHostPort(environment.ip(2, number), fmt.Sprint(portBackend))
+	link, err := newProxy(net.JoinHostPort(environment.ip(3, number), fmt.Sprint(portBackend)), own)
 	if err != nil {
 		return err
 	}
 	environment.closers = append(environment.closers, link.close)
-	added := &backend{service: service, address: link.address(), own: own, link: link}
+	added := &backend{service: service, address: link.address(), serverAddress: own, link: link}
 	environment.backends = append(environment.backends, added)
 	return environment.startBackend(ctx, added, added.newName())
 }
@@ -194,34 +194,34 @@
 func (backend *backend) newName() string {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
-	return fmt.Sprintf("i-%s-%d", backend.address, backend.life+1)
+	return fmt.Sprintf("i-%s-%d", backend.address, backend.generation+1)
 }
 
 // startBackend starts a server of a backend and writes its entry to the store. The name may be one that was used before,
 // as after a crash.
-func (environment *world) startBackend(ctx context.Context, backend *backend, name string) error {
+func (environment *environment) startBackend(ctx context.Context, backend *backend, name string) error {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
-	backend.life++
+	backend.generation++
 	identity := platformserver.Identity{
 		Instance: name, Service: backend.service, Address: backend.address, StartedAt: time.Now(),
 	}
-	seed := environment.settings.Seed + uint64(backend.life) //nolint:gosec // small non-negative number
+	seed := environment.settings.Seed + uint64(backend.generation) //nolint:gosec // small non-negative number
 	if backend.service == serviceEngines {
 		backend.engine = platformserver.NewEngine(ctx, identity, platformserver.ProductionModel(), environment.fleet, environment.record, seed)
 		backend.standIn = backend.engine
 	} else {
 		backend.standIn = platformserver.NewPlain(identity, plainSlots, plainWork, environment.record, seed)
 	}
-	backend.standIn.SetCrash(platformserver.Crash{Body: harmfulBody, StopServer: func() { go environment.crash(ctx, backend) }})
-	listener, err := net.Listen("tcp4", backend.own) //nolint:noctx // closed by backend.stop
+	backend.standIn.SetCrash(platformserver.Crash{Body: crashingBody, StopServer: func() { go environment.crash(ctx, backend) }})
+	listener, err := net.Listen("tcp4", backend.serverAddress) //nolint:noctx // closed by backend.stop
 	if err != nil {
 		return errors.Wrap(err, "listen for server stand-in")
 	}
 	server := &http.Server{Handler: backend.standIn, ReadHeaderTimeout: time.Minute}
 	backend.server = server
 	go func() { _ = server.Serve(listener) }() // returns when the server is closed
-	environment.operator.list(identity, false)
+	environment.operator.putServerEntry(identity, false)
 	return nil
 }
 
@@ -248,14 +248,14 @@
 	backend.standIn.SetFaults(faults)
 }
 
-func (backend *backend) sayLeaving() {
+func (backend *backend) advertiseDraining() {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
 	backend.standIn.AdvertiseDraining()
 }
 
 // addVM writes the settings file of a VM and starts it with its proxies.
-func (environment *world) addVM(number int, storeAddress string) error {
+func (environment *environment) addVM(number int, storeAddress string) error {
 	added := &vm{name: fmt.Sprintf("vm-%d", number)}
 	ip := environment.ip(1, number)
 	var err error
@@ -282,9 +282,9 @@
 
 // writeSite writes the settings file of a VM. moreSlack is added to the slack of the
 // retry budget.
-func (environment *world) writeSite(vm *vm, ip string, moreSlack int) error {
+func (environment *environment) writeSite(vm *vm, ip string, moreSlack int) error {
 	data, err := json.Marshal(map[string]any{
-		"node_name": vm.name, "ip": ip, "zone": firstCentre,
+		"node_name": vm.name, "ip": ip, "zone": firstDataCentre,
 		"listen_addrs": map[string]string{
 			"front": net.JoinHostPort(ip, fmt.Sprint(portFront)), "ready": net.JoinHostPort(ip, fmt.Sprint(portReady)),
 		},
--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -10,24 +10,24 @@
 
 // Data centres of a run.
 const (
-	firstCentre  = "north"
-	secondCentre = "south"
+	firstDataCentre  = "north"
+	secondDataCentre = "south"
 )
 
 // evacuation is a span in which the servers of a data centre must get no requests. A zero end means that it is in force.
-type evacuated struct {
+type evacuation struct {
 	dataCentre string
 	from, to   time.Time
 }
 
 // assignDataCentre returns the data centre of a server: the first one, or, in runs with two, by the parity of the last
 // byte of its address.
-func (operator *operator) centre(identity platformserver.Identity) string {
+func (operator *operator) assignDataCentre(identity platformserver.Identity) string {
 	address, err := netip.ParseAddrPort(identity.Address)
-	if operator.twoCentres && err == nil && address.Addr().As4()[3]%2 == 0 {
-		return secondCentre
+	if operator.twoDataCentres && err == nil && address.Addr().As4()[3]%2 == 0 {
+		return secondDataCentre
 	}
-	return firstCentre
+	return firstDataCentre
 }
 
 // evacuate begins or ends an evacuation of a data centre. Evacuations may overlap; the data centre is back in service when
@@ -37,30 +37,30 @@
 	defer operator.mu.Unlock()
 	key := "evacuate/" + dataCentre
 	if begin {
-		operator.evacuating++
-		if operator.evacuating == 1 {
+		operator.activeEvacuations++
+		if operator.activeEvacuations == 1 {
 			operator.put("keyed.op", key, []byte("{}"))
-			operator.evacuated = append(operator.evacuated, evacuated{dataCentre: dataCentre, from: time.Now()})
+			operator.evacuations = append(operator.evacuations, evacuation{dataCentre: dataCentre, from: time.Now()})
 		}
 		return
 	}
-	operator.evacuating--
-	if operator.evacuating == 0 {
-		operator.evacuated[len(operator.evacuated)-1].to = time.Now()
+	operator.activeEvacuations--
+	if operator.activeEvacuations == 0 {
+		operator.evacuations[len(operator.evacuations)-1].to = time.Now()
 		operator.put("keyed.op", key, nil)
 	}
 }
 
 // endedEvacuations returns the evacuations that have ended.
-func (operator *operator) evacuations() []evacuated {
+func (operator *operator) endedEvacuations() []evacuation {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(operator.evacuated), func(evacuation evacuated) bool { return evacuation.to.IsZero() })
+	return slices.DeleteFunc(slices.Clone(operator.evacuations), func(evacuation evacuation) bool { return evacuation.to.IsZero() })
 }
 
 // dataCentreOf returns the data centre of a server that had an entry in the store, or an empty string.
 func (operator *operator) dataCentreOf(instance string) string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	return operator.centres[instance]
+	return operator.dataCentres[instance]
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -47,28 +47,28 @@
 // Durations around faults.
 const (
 	// restartSlack is how long after the end of its process a VM is exempt from time bounds.
-	restartTime = time.Second
+	restartSlack = time.Second
 	// staleEntryTime is how long the entry of a dead server stays in the store.
-	entryTime = 1500 * time.Millisecond
+	staleEntryTime = 1500 * time.Millisecond
 	// extraDrainTime is how long a draining server keeps serving beyond boundDrain.
-	serveOn = 3 * time.Second
+	extraDrainTime = 3 * time.Second
 )
 
 // injectFaults runs a plan and returns when all its faults have ended.
-func (environment *world) inject(ctx context.Context, plan []Event) {
+func (environment *environment) injectFaults(ctx context.Context, plan []Event) {
 	start := time.Now()
 	var running sync.WaitGroup
 	for _, event := range plan {
 		if !wait.For(ctx, time.Until(start.Add(event.At))) {
 			break
 		}
-		running.Go(func() { environment.play(ctx, event) })
+		running.Go(func() { environment.injectFault(ctx, event) })
 	}
 	running.Wait()
 }
 
 // injectFault injects one fault, waits for its end and records its span.
-func (environment *world) play(ctx context.Context, event Event) {
+func (environment *environment) injectFault(ctx context.Context, event Event) {
 	from := time.Now()
 	vm := environment.vms[event.Target%len(environment.vms)]
 	backend := environment.backends[event.Target%len(environment.backends)]
@@ -76,10 +76,10 @@
 	slack := time.Duration(0)
 	switch event.Kind {
 	case KindVMKill:
-		affected, slack = vm.name, restartTime
+		affected, slack = vm.name, restartSlack
 		vm.process.signal(syscall.SIGKILL)
 	case KindAllKill:
-		slack = restartTime
+		slack = restartSlack
 		for _, vm := range environment.vms {
 			vm.process.signal(syscall.SIGKILL)
 		}
@@ -99,38 +99,38 @@
 		}
 	case KindFrontReset, KindFrontDelay, KindStoreCut:
 		affected = vm.name
-		environment.playVMProxy(ctx, event, vm)
+		environment.disruptVMConnections(ctx, event, vm)
 	case KindStoreBusy, KindStoreSilent, KindStoreReset, KindStoreLost, KindStoreTrim, KindStoreStale:
-		environment.playStore(ctx, event)
+		environment.disruptStore(ctx, event)
 	case KindConfigure, KindRevoke, KindEvacuate:
-		environment.playOperator(ctx, event)
+		environment.runOperatorAction(ctx, event)
 	case KindStoreOlder:
-		environment.playOlder(ctx, event)
+		environment.rollBackStore(ctx, event)
 	case KindServerKill, KindServerLeave, KindServerSays, KindBadEntry:
-		environment.playServer(ctx, event, backend)
+		environment.changeServer(ctx, event, backend)
 	case KindRequestCrash:
-		environment.askHarmful(ctx, event)
+		environment.sendCrashingRequests(ctx, event)
 	default:
-		environment.playBackend(ctx, event, backend)
+		environment.disruptBackend(ctx, event, backend)
 	}
 	environment.log.add(span{from: from, to: time.Now().Add(slack), kind: event.Kind, vm: affected})
 }
 
 // runOperatorAction performs an action of the operator: a new configuration, a key revocation or an evacuation.
-func (environment *world) playOperator(ctx context.Context, event Event) {
+func (environment *environment) runOperatorAction(ctx context.Context, event Event) {
 	switch event.Kind {
 	case KindRevoke:
 		environment.operator.revoke()
 	case KindEvacuate:
-		environment.operator.evacuate(secondCentre, true)
+		environment.operator.evacuate(secondDataCentre, true)
 		wait.For(ctx, event.For)
-		environment.operator.evacuate(secondCentre, false)
+		environment.operator.evacuate(secondDataCentre, false)
 	default:
 		environment.operator.addRoute()
 	}
 }
 
-func (environment *world) playVMProxy(ctx context.Context, event Event, vm *vm) {
+func (environment *environment) disruptVMConnections(ctx context.Context, event Event, vm *vm) {
 	proxy, mode := vm.front, modeReset
 	switch event.Kind {
 	case KindFrontDelay:
@@ -138,15 +138,15 @@
 	case KindStoreCut:
 		proxy, mode = vm.store, modeSilent
 	}
-	proxy.set(mode)
+	proxy.setMode(mode)
 	wait.For(ctx, event.For)
-	proxy.set(modePass)
+	proxy.setMode(modePass)
 }
 
-func (environment *world) playStore(ctx context.Context, event Event) {
+func (environment *environment) disruptStore(ctx context.Context, event Event) {
 	if event.Kind == KindStoreStale {
 		for _, vm := range environment.vms {
-			vm.store.silence()
+			vm.store.silenceOpen()
 		}
 		wait.For(ctx, event.For) // the effects of the silent connections count as part of this fault
 		return
@@ -165,31 +165,31 @@
 }
 
 // changeServer replaces a server or makes its entry malformed.
-func (environment *world) playServer(ctx context.Context, event Event, backend *backend) {
+func (environment *environment) changeServer(ctx context.Context, event Event, backend *backend) {
 	if !backend.replacing.TryLock() {
 		return // a replacement is in progress
 	}
 	defer backend.replacing.Unlock()
 	if event.Kind == KindBadEntry {
-		environment.spoil(ctx, event, backend)
+		environment.corruptEntry(ctx, event, backend)
 		return
 	}
-	environment.replace(ctx, event, backend)
+	environment.replaceServer(ctx, event, backend)
 }
 
 // replaceServer ends a server, abruptly or after a drain, and starts a new one at its address.
-func (environment *world) replace(ctx context.Context, event Event, backend *backend) {
+func (environment *environment) replaceServer(ctx context.Context, event Event, backend *backend) {
 	identity := backend.identity()
 	if event.Kind == KindServerSays {
-		environment.sayLeaving(ctx, event, backend)
+		environment.advertiseDraining(ctx, event, backend)
 	}
 	if event.Kind != KindServerKill {
-		environment.operator.list(identity, true)
-		wait.For(ctx, boundDrain+serveOn)
+		environment.operator.putServerEntry(identity, true)
+		wait.For(ctx, boundDrain+extraDrainTime)
 	}
 	backend.stop()
-	wait.For(ctx, entryTime)
-	environment.operator.drop(identity)
+	wait.For(ctx, staleEntryTime)
+	environment.operator.removeServerEntry(identity)
 	// The new server reuses the address, as servers on the platform may.
 	if err := environment.startBackend(ctx, backend, backend.newName()); err != nil {
 		environment.record.AddViolation(err.Error())
@@ -197,9 +197,9 @@
 }
 
 // advertiseDraining makes a server advertise in its responses alone that it drains, while the store rejects all requests.
-func (environment *world) sayLeaving(ctx context.Context, event Event, backend *backend) {
+func (environment *environment) advertiseDraining(ctx context.Context, event Event, backend *backend) {
 	from := time.Now()
-	backend.sayLeaving()
+	backend.advertiseDraining()
 	environment.store.SetFault(metastore.FaultBusy)
 	wait.For(ctx, event.For)
 	environment.store.SetFault(metastore.FaultNone)
@@ -207,44 +207,44 @@
 }
 
 // corruptEntry replaces the entry of a server by a malformed one until the fault ends and the entry is written again.
-func (environment *world) spoil(ctx context.Context, event Event, backend *backend) {
+func (environment *environment) corruptEntry(ctx context.Context, event Event, backend *backend) {
 	identity := backend.identity()
-	environment.operator.spoil(identity, event.Target)
+	environment.operator.corruptEntry(identity, event.Target)
 	wait.For(ctx, event.For)
-	environment.operator.list(identity, false)
+	environment.operator.putServerEntry(identity, false)
 }
 
 // rollbackOutage is how long the store is unavailable before it is restored from an older copy, and rewriteDelay how long
 // after that its writers write their records again.
 const (
-	olderAway  = 300 * time.Millisecond
-	olderAgain = 1200 * time.Millisecond
+	rollbackOutage = 300 * time.Millisecond
+	rewriteDelay   = 1200 * time.Millisecond
 )
 
 // rollBackStore restores the store from a copy that is as old as the fault is long.
-func (environment *world) playOlder(ctx context.Context, event Event) {
+func (environment *environment) rollBackStore(ctx context.Context, event Event) {
 	copied := environment.store.Snapshot()
 	wait.For(ctx, event.For)
 	environment.store.SetFault(metastore.FaultBusy)
-	wait.For(ctx, olderAway)
+	wait.For(ctx, rollbackOutage)
 	environment.store.Restore(copied)
 	environment.store.SetFault(metastore.FaultNone)
-	wait.For(ctx, olderAgain)
-	environment.operator.rewrite()
+	wait.For(ctx, rewriteDelay)
+	environment.operator.rewriteAll()
 }
 
 // Rate limits that a server advertises, in requests per second: minRateLimit + n*rateLimitStep, with n from zero to
 // rateLimitSteps-1.
 const (
-	limitLeast = 0.3
-	limitStep  = 0.9
-	limitSteps = 6
+	minRateLimit   = 0.3
+	rateLimitStep  = 0.9
+	rateLimitSteps = 6
 )
 
 // advertiseRateLimits makes a server advertise one rate limit for the first half of a fault and another for the second.
-func (backend *backend) nameLimits(ctx context.Context, event Event) {
+func (backend *backend) advertiseRateLimits(ctx context.Context, event Event) {
 	for half := range 2 {
-		limit := limitLeast + limitStep*float64((event.Target>>(4*half))%limitSteps)
+		limit := minRateLimit + rateLimitStep*float64((event.Target>>(4*half))%rateLimitSteps)
 		backend.setFaults(platformserver.Faults{RateLimited: true, RateLimit: limit})
 		wait.For(ctx, event.For/2)
 	}
@@ -252,33 +252,33 @@
 }
 
 // requestedBackoff is the backoff that a server requests in its refusals.
-const restAsked = 4 * time.Second
+const requestedBackoff = 4 * time.Second
 
 // faultyFraction is the fraction of its requests that a faulty server handles wrongly.
-const faultPart = 0.3
+const faultyFraction = 0.3
 
 // disruptBackend makes a server, or the connections to it, misbehave.
-func (environment *world) playBackend(ctx context.Context, event Event, backend *backend) {
+func (environment *environment) disruptBackend(ctx context.Context, event Event, backend *backend) {
 	modes := map[Kind]mode{KindLinkReset: modeReset, KindLinkSilent: modeSilent, KindLinkOneWay: modeOneWay}
 	if event.Kind == KindLinkStale {
-		backend.link.silence()
+		backend.link.silenceOpen()
 		wait.For(ctx, event.For) // the effects of the silent connections count as part of this fault
 		return
 	}
 	if mode, ok := modes[event.Kind]; ok {
-		backend.link.set(mode)
+		backend.link.setMode(mode)
 		wait.For(ctx, event.For)
-		backend.link.set(modePass)
+		backend.link.setMode(modePass)
 		return
 	}
 	if event.Kind == KindServerLimit {
-		backend.nameLimits(ctx, event)
+		backend.advertiseRateLimits(ctx, event)
 		return
 	}
 	backend.setFaults(map[Kind]platformserver.Faults{
-		KindServerErrors: {Errors: faultPart}, KindServerRefuse: {Refused: faultPart}, KindServerLost: {LostResponses: faultPart},
-		KindServerCut: {Truncated: faultPart}, KindServerExtra: {ExtraResponses: faultPart}, KindServerHang: {Hang: true},
-		KindServerSlow: {Slowdown: 4}, KindServerRest: {Refused: faultPart, Backoff: restAsked},
+		KindServerErrors: {Errors: faultyFraction}, KindServerRefuse: {Refused: faultyFraction}, KindServerLost: {LostResponses: faultyFraction},
+		KindServerCut: {Truncated: faultyFraction}, KindServerExtra: {ExtraResponses: faultyFraction}, KindServerHang: {Hang: true},
+		KindServerSlow: {Slowdown: 4}, KindServerRest: {Refused: faultyFraction, Backoff: requestedBackoff},
 	}[event.Kind])
 	wait.For(ctx, event.For)
 	backend.setFaults(platformserver.Faults{})
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -24,9 +24,9 @@
 	routeSafe   = "look"
 	routeUnsafe = "pay"
 
-	plainSlots = 6
-	plainWork  = 20 * time.Millisecond
-	timeout    = 6 * time.Second
+	plainSlots   = 6
+	plainWork    = 20 * time.Millisecond
+	routeTimeout = 6 * time.Second
 )
 
 // key is an API key and when it was revoked, or zero.
@@ -42,30 +42,30 @@
 	mu      sync.Mutex
 	version int
 	// addedRoutes are the routes that versions after the first added.
-	extra []string
-	keys  []*key
+	addedRoutes []string
+	keys        []*key
 	// records holds the newest value of each key of both topics, nil for a deleted one.
-	written map[written][]byte
+	records map[recordName][]byte
 	// corruptions holds the spans in which each server's entry was malformed, by server ID.
-	spoilt map[string][]spoilt
+	corruptions map[string][]corruption
 	// activeEvacuations counts the evacuations in force, and evacuations holds each span in which there was one.
-	evacuating int
-	evacuated  []evacuated
+	activeEvacuations int
+	evacuations       []evacuation
 	// dataCentres holds the data centre of each server that ever had an entry, by server ID.
-	centres map[string]string
+	dataCentres map[string]string
 	// twoDataCentres spreads the servers over two data centres instead of one.
-	twoCentres bool
+	twoDataCentres bool
 	// drainingSince holds when the store acknowledged the draining state of each server, by server ID.
-	left map[string]time.Time
+	drainingSince map[string]time.Time
 }
 
 // recordName identifies a record in the store.
-type written struct {
+type recordName struct {
 	topic, key string
 }
 
 // corruption is a span in which the entry of a server was malformed. A zero end means that it still is.
-type spoilt struct {
+type corruption struct {
 	from, to time.Time
 }
 
@@ -74,8 +74,8 @@
 
 func newOperator(store *metastore.Store) *operator {
 	return &operator{
-		store: store, left: make(map[string]time.Time), written: make(map[written][]byte),
-		spoilt: make(map[string][]spoilt), centres: make(map[string]string),
+		store: store, drainingSince: make(map[string]time.Time), records: make(map[recordName][]byte),
+		corruptions: make(map[string][]corruption), dataCentres: make(map[string]string),
 		keys: []*key{{value: permanentKey}, {value: "key-1"}, {value: "key-2"}},
 	}
 }
@@ -100,15 +100,15 @@
 		route(routeOnce, "stream", serviceEngines, false), route(routeSafe, "safe", servicePlain, false),
 		route(routeUnsafe, "unsafe", servicePlain, false),
 	}
-	for _, name := range operator.extra {
+	for _, name := range operator.addedRoutes {
 		routes = append(routes, route(name, "safe", servicePlain, false))
 	}
 	model := platformserver.ProductionModel()
 	value, err := json.Marshal(map[string]any{
 		"version": operator.version, "routes": routes,
 		"services": []any{
-			named(servicePlain, nil),
-			named(serviceEngines, map[string]any{"engine": map[string]any{
+			withName(servicePlain, nil),
+			withName(serviceEngines, map[string]any{"engine": map[string]any{
 				"slots": model.Slots, "kv_tokens": model.MemoryTokens, "stride": model.StepsPerPass,
 				"step_ms": model.StepTime.Seconds() * 1000, "read_per_s": model.PrefillTokensPerSecond,
 				"pairs_per_m": model.TimePerMillionPairs.Seconds() * 1000,
@@ -117,7 +117,7 @@
 		"limits": map[string]any{
 			"max_header_bytes": 16_384, "max_body_bytes": 65_536, "header_timeout_ms": 3000, "idle_timeout_ms": 15_000,
 		},
-		"tenants": []any{named(organisation, map[string]any{"api_keys": keys})},
+		"tenants": []any{withName(organisation, map[string]any{"api_keys": keys})},
 	})
 	if err != nil {
 		panic(err) // names and numbers always encode
@@ -127,15 +127,15 @@
 
 // put writes a record to the store and to records; a nil value deletes it. The lock must be held.
 func (operator *operator) put(topic, key string, value []byte) {
-	operator.written[written{topic: topic, key: key}] = value
+	operator.records[recordName{topic: topic, key: key}] = value
 	operator.store.Put(topic, key, value)
 }
 
 // rewriteAll writes every record again, as a store rollback may have lost some.
-func (operator *operator) rewrite() {
+func (operator *operator) rewriteAll() {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	for name, value := range operator.written {
+	for name, value := range operator.records {
 		operator.store.Put(name.topic, name.key, value)
 	}
 }
@@ -148,15 +148,15 @@
 	if kind == "unsafe" {
 		attempts = 1
 	}
-	return named(name, map[string]any{
+	return withName(name, map[string]any{
 		"host": host, "path_prefix": "/" + name + "/", "route_kind": kind,
-		"timeout_ms": timeout.Milliseconds(), "target_latency_ms": 300, "service": service,
+		"timeout_ms": routeTimeout.Milliseconds(), "target_latency_ms": 300, "service": service,
 		"max_attempts": attempts, "resumable": resumable, "gap_aim_ms": gap,
 	})
 }
 
 // withName returns a configuration object with that name and the given members.
-func named(name string, more map[string]any) map[string]any {
+func withName(name string, more map[string]any) map[string]any {
 	object := map[string]any{"name": name}
 	maps.Copy(object, more)
 	return object
@@ -165,7 +165,7 @@
 // addRoute writes a configuration version with one more route, named after the version.
 func (operator *operator) addRoute() {
 	operator.configure(func() {
-		operator.extra = append(operator.extra, fmt.Sprintf("v%d", operator.version))
+		operator.addedRoutes = append(operator.addedRoutes, fmt.Sprintf("v%d", operator.version))
 	})
 }
 
@@ -178,7 +178,7 @@
 }
 
 // keyByNumber returns the key at a number modulo the count of keys, revoked ones included.
-func (operator *operator) someKey(number int) string {
+func (operator *operator) keyByNumber(number int) string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	return operator.keys[number%len(operator.keys)].value
@@ -200,14 +200,14 @@
 func (operator *operator) newestRoute() string {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	if len(operator.extra) == 0 {
+	if len(operator.addedRoutes) == 0 {
 		return ""
 	}
-	return operator.extra[len(operator.extra)-1]
+	return operator.addedRoutes[len(operator.addedRoutes)-1]
 }
 
 // putServerEntry writes the entry of a server, in the state draining or ready.
-func (operator *operator) list(identity platformserver.Identity, draining bool) {
+func (operator *operator) putServerEntry(identity platformserver.Identity, draining bool) {
 	state := "ready"
 	if draining {
 		state = "draining"
@@ -216,7 +216,7 @@
 	if identity.Service == servicePlain {
 		slots = plainSlots
 	}
-	dataCentre := operator.centre(identity)
+	dataCentre := operator.assignDataCentre(identity)
 	value, err := json.Marshal(map[string]any{
 		"service": identity.Service, "address": identity.Address, "zone": dataCentre, "slots": slots, "state": state,
 		"version": "v1", "cold_left_ms": 0, "call_seq": 0, "born": identity.StartedAt.UnixMilli(),
@@ -227,41 +227,41 @@
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	operator.put("keyed.servers", identity.Instance, value)
-	operator.centres[identity.Instance] = dataCentre
-	if last := len(operator.spoilt[identity.Instance]) - 1; last >= 0 && operator.spoilt[identity.Instance][last].to.IsZero() {
-		operator.spoilt[identity.Instance][last].to = time.Now()
+	operator.dataCentres[identity.Instance] = dataCentre
+	if last := len(operator.corruptions[identity.Instance]) - 1; last >= 0 && operator.corruptions[identity.Instance][last].to.IsZero() {
+		operator.corruptions[identity.Instance][last].to = time.Now()
 	}
 	if draining {
-		operator.left[identity.Instance] = time.Now()
+		operator.drainingSince[identity.Instance] = time.Now()
 	}
 }
 
 // corruptEntry replaces a server's entry by one of several malformed ones, chosen by number.
-func (operator *operator) spoil(identity platformserver.Identity, number int) {
+func (operator *operator) corruptEntry(identity platformserver.Identity, number int) {
 	malformed := []string{
 		"{", "null", "\x00\xff", `{"service": 7}`, `{"address": "", "state": "ready"}`,
-		fmt.Sprintf(`{"service": %q, "address": %q, "zone": %q, "slots": 16, "state": "away"}`, identity.Service, identity.Address, firstCentre),
-		fmt.Sprintf(`{"service": %q, "address": "here", "zone": %q, "slots": 16, "state": "ready"}`, identity.Service, firstCentre),
+		fmt.Sprintf(`{"service": %q, "address": %q, "zone": %q, "slots": 16, "state": "away"}`, identity.Service, identity.Address, firstDataCentre),
+		fmt.Sprintf(`{"service": %q, "address": "here", "zone": %q, "slots": 16, "state": "ready"}`, identity.Service, firstDataCentre),
 	}
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	operator.put("keyed.servers", identity.Instance, []byte(malformed[number%len(malformed)]))
-	operator.spoilt[identity.Instance] = append(operator.spoilt[identity.Instance], spoilt{from: time.Now()})
+	operator.corruptions[identity.Instance] = append(operator.corruptions[identity.Instance], corruption{from: time.Now()})
 }
 
 // removeServerEntry deletes the entry of a server from the store.
-func (operator *operator) drop(identity platformserver.Identity) {
+func (operator *operator) removeServerEntry(identity platformserver.Identity) {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
 	operator.put("keyed.servers", identity.Instance, nil)
 }
 
 // drainStarts returns a copy of drainingSince.
-func (operator *operator) leavings() map[string]time.Time {
+func (operator *operator) drainStarts() map[string]time.Time {
 	operator.mu.Lock()
 	defer operator.mu.Unlock()
-	copied := make(map[string]time.Time, len(operator.left))
-	for instance, at := range operator.left {
+	copied := make(map[string]time.Time, len(operator.drainingSince))
+	for instance, at := range operator.drainingSince {
 		copied[instance] = at
 	}
 	return copied
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -69,14 +69,14 @@
 }
 
 // affectsStore reports whether a kind affects the store or the connections to it.
-func (kind Kind) ofStore() bool {
+func (kind Kind) affectsStore() bool {
 	return strings.HasPrefix(string(kind), "store_")
 }
 
 // suspendsBounds reports whether a kind affects a VM or the store, so that time bounds
 // do not apply while it is active.
-func (kind Kind) disturbs() bool {
-	if kind.ofStore() || kind == KindAllKill {
+func (kind Kind) suspendsBounds() bool {
+	if kind.affectsStore() || kind == KindAllKill {
 		return true
 	}
 	return strings.HasPrefix(string(kind), "vm_") || strings.HasPrefix(string(kind), "front_")
@@ -111,29 +111,29 @@
 	longestStoreFault = 6500 * time.Millisecond
 	shortestFault     = 200 * time.Millisecond
 	// rateLimitDuration is how long a server advertises rate limits: more than two rateLimitWindows.
-	limitTime = 9 * time.Second
+	rateLimitDuration = 9 * time.Second
 	// frequentFaultsPerSecond is the approximate rate at which faults begin, and
 	// rareFaultsPerSecond that in runs of seeds divisible by three. In these a server drains and
 	// neither VMs nor the store have faults, so that bounds which apply only then are checked.
-	oftenPerSecond  = 1.3
-	seldomPerSecond = 0.35
+	frequentFaultsPerSecond = 1.3
+	rareFaultsPerSecond     = 0.35
 	// extraSeedInterval is the distance between seeds with the same extra kind, and firstExtraSeed the first seed that
 	// has one other than KindRequestCrash.
-	extraSeeds = 5
-	extraFrom  = 100
+	extraSeedInterval = 5
+	firstExtraSeed    = 100
 	// firstRateLimitSeed is the first seed in whose runs servers advertise rate limits.
-	limitFrom = 200
+	firstRateLimitSeed = 200
 	// firstEvacuationSeed is the first seed in whose runs data centres are evacuated, and evacuationSeedInterval the
 	// distance between such seeds.
-	evacuateFrom  = 300
-	evacuateSeeds = 10
+	firstEvacuationSeed    = 300
+	evacuationSeedInterval = 10
 	// extraEvents is the number of events of an extra kind in a run, except of KindRequestCrash, of which there is one.
 	extraEvents = 3
 	// followUpFraction is the fraction of store faults that get the longest duration and
 	// a key revocation followUpDelay after their start: a VM that cannot confirm the key
 	// must not accept it.
-	followPart  = 0.5
-	followAfter = 300 * time.Millisecond
+	followUpFraction = 0.5
+	followUpDelay    = 300 * time.Millisecond
 )
 
 // NewPlan returns the events of a run of that length, ordered by time, or nil when it is
@@ -152,29 +152,29 @@
 			Target: random.IntN(1 << 16),
 		}
 	}
-	perSecond := oftenPerSecond
+	perSecond := frequentFaultsPerSecond
 	kinds := Kinds()
 	var events []Event
 	if seed%3 == 0 {
-		perSecond = seldomPerSecond
-		kinds = slices.DeleteFunc(kinds, Kind.disturbs)
+		perSecond = rareFaultsPerSecond
+		kinds = slices.DeleteFunc(kinds, Kind.suspendsBounds)
 		events = append(events, draw(KindServerLeave, longestFault))
 	}
 	for range 1 + int(window.Seconds()*perSecond) {
 		kind := kinds[random.IntN(len(kinds))]
-		if !kind.ofStore() {
+		if !kind.affectsStore() {
 			events = append(events, draw(kind, longestFault))
 			continue
 		}
 		event := draw(kind, longestStoreFault)
-		if random.Float64() < followPart {
+		if random.Float64() < followUpFraction {
 			event.For = longestStoreFault
-			events = append(events, Event{At: event.At + followAfter, Kind: KindRevoke})
+			events = append(events, Event{At: event.At + followUpDelay, Kind: KindRevoke})
 		}
 		events = append(events, event)
 	}
 	random = rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // not security-sensitive
-	switch kind := extra(seed); kind {
+	switch kind := extraKind(seed); kind {
 	case "":
 	case KindRequestCrash:
 		crash := draw(kind, longestFault)
@@ -183,7 +183,7 @@
 	default:
 		for range extraEvents {
 			event := draw(kind, longestFault)
-			event.For = extraTime(kind, event.For)
+			event.For = extraDuration(kind, event.For)
 			events = append(events, event)
 		}
 	}
@@ -192,28 +192,28 @@
 }
 
 // extraDuration returns the duration of a fault of an extra kind, given the randomly drawn one.
-func extraTime(kind Kind, drawn time.Duration) time.Duration {
+func extraDuration(kind Kind, drawn time.Duration) time.Duration {
 	switch kind {
 	case KindStoreOlder:
 		return drawn
 	case KindServerLimit:
-		return limitTime
+		return rateLimitDuration
 	default:
 		return longestStoreFault // violations show only long after the start
 	}
 }
 
 // extraKind returns the kind that the run of a seed has in addition to the drawn ones, or an empty string.
-func extra(seed uint64) Kind {
-	number := seed % extraSeeds
+func extraKind(seed uint64) Kind {
+	number := seed % extraSeedInterval
 	switch {
 	case number == 1:
 		return KindRequestCrash
-	case seed < extraFrom:
+	case seed < firstExtraSeed:
 		return ""
-	case seed >= evacuateFrom && seed%evacuateSeeds == 2:
+	case seed >= firstEvacuationSeed && seed%evacuationSeedInterval == 2:
 		return KindEvacuate
-	case seed >= limitFrom && number == 0:
+	case seed >= firstRateLimitSeed && number == 0:
 		return KindServerLimit
 	default:
 		return []Kind{KindBadEntry, KindRequestCrash, KindServerRest, KindServerSays, KindStoreOlder}[number]
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,19 +24,19 @@
 	running *exec.Cmd
 	closing bool
 	// startTimes and endTimes hold when each incarnation began and ended.
-	lives []time.Time
-	ends  []time.Time
-	done  chan struct{}
+	startTimes []time.Time
+	endTimes   []time.Time
+	done       chan struct{}
 }
 
 func startProcess(program string, args, env []string, output *os.File) *process {
 	process := &process{program: program, args: args, env: env, output: output, done: make(chan struct{})}
-	go process.keep()
+	go process.supervise()
 	return process
 }
 
 // supervise starts the process again and again until it is closed or cannot start.
-func (process *process) keep() {
+func (process *process) supervise() {
 	defer close(process.done)
 	for {
 		command := process.start()
@@ -46,7 +46,7 @@
 		_ = command.Wait() // the output shows why it ended
 		process.mu.Lock()
 		process.running = nil
-		process.ends = append(process.ends, time.Now())
+		process.endTimes = append(process.endTimes, time.Now())
 		process.mu.Unlock()
 		time.Sleep(restartPause)
 	}
@@ -67,7 +67,7 @@
 		return nil
 	}
 	process.running = command
-	process.lives = append(process.lives, time.Now())
+	process.startTimes = append(process.startTimes, time.Now())
 	return command
 }
 
@@ -91,11 +91,11 @@
 }
 
 // incarnation returns the number of starts of the process up to a time.
-func (process *process) life(at time.Time) int {
+func (process *process) incarnation(at time.Time) int {
 	process.mu.Lock()
 	defer process.mu.Unlock()
 	count := 0
-	for _, began := range process.lives {
+	for _, began := range process.startTimes {
 		if !began.After(at) {
 			count++
 		}
@@ -111,10 +111,10 @@
 func (process *process) down(from, to time.Time) bool {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	for index, end := range process.ends {
+	for index, end := range process.endTimes {
 		servesFrom := end.Add(restartPause + servingTime)
-		if index+1 < len(process.lives) {
-			servesFrom = process.lives[index+1].Add(servingTime)
+		if index+1 < len(process.startTimes) {
+			servesFrom = process.startTimes[index+1].Add(servingTime)
 		}
 		if end.Before(to) && servesFrom.After(from) {
 			return true
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -26,8 +26,8 @@
 	// proxyDelay is what modeDelay adds to each read.
 	proxyDelay = 150 * time.Millisecond
 	// proxyBufferBytes bounds how much is forwarded at once.
-	proxyBuffer = 16 << 10
-	proxyDial   = time.Second
+	proxyBufferBytes = 16 << 10
+	proxyDialTimeout = time.Second
 )
 
 // proxy is a TCP proxy on loopback addresses that simulates network faults according to its mode.
@@ -61,11 +61,11 @@
 
 func (proxy *proxy) close() {
 	_ = proxy.listener.Close() // an error leaves nothing to do
-	proxy.set(modeReset)
+	proxy.setMode(modeReset)
 }
 
 // setMode changes the mode for open and new connections.
-func (proxy *proxy) set(mode mode) {
+func (proxy *proxy) setMode(mode mode) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	proxy.mode = mode
@@ -79,7 +79,7 @@
 }
 
 // silenceOpen discards all further data of the connections that are open now. New connections work.
-func (proxy *proxy) silence() {
+func (proxy *proxy) silenceOpen() {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	for conn := range proxy.conns {
@@ -88,7 +88,7 @@
 }
 
 // isSilenced reports whether data from a connection is discarded.
-func (proxy *proxy) silent(conn net.Conn) bool {
+func (proxy *proxy) isSilenced(conn net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	return proxy.conns[conn]
@@ -108,12 +108,12 @@
 		if err != nil {
 			return // the listener is closed
 		}
-		go proxy.pass(conn)
+		go proxy.forward(conn)
 	}
 }
 
 // track records an open connection. In modeReset it resets the connection and returns false.
-func (proxy *proxy) keep(conn net.Conn) bool {
+func (proxy *proxy) track(conn net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if proxy.mode == modeReset {
@@ -124,27 +124,27 @@
 	return true
 }
 
-func (proxy *proxy) drop(conn net.Conn) {
+func (proxy *proxy) untrack(conn net.Conn) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	delete(proxy.conns, conn)
 	_ = conn.Close() // fails only if it is closed already
 }
 
-func (proxy *proxy) pass(downstream net.Conn) {
-	if !proxy.keep(downstream) {
+func (proxy *proxy) forward(downstream net.Conn) {
+	if !proxy.track(downstream) {
 		return
 	}
-	defer proxy.drop(downstream)
-	upstream, err := net.DialTimeout("tcp4", proxy.target, proxyDial) //nolint:noctx // bounded by its timeout
+	defer proxy.untrack(downstream)
+	upstream, err := net.DialTimeout("tcp4", proxy.target, proxyDialTimeout) //nolint:noctx // bounded by its timeout
 	if err != nil {
 		reset(downstream)
 		return
 	}
-	if !proxy.keep(upstream) {
+	if !proxy.track(upstream) {
 		return
 	}
-	defer proxy.drop(upstream)
+	defer proxy.untrack(upstream)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -158,12 +158,12 @@
 
 // copy forwards data in one direction until either end is closed.
 func (proxy *proxy) copy(to, from net.Conn, fromTarget bool) {
-	buffer := make([]byte, proxyBuffer)
+	buffer := make([]byte, proxyBufferBytes)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			proxy.hold(fromTarget)
-			if proxy.silent(from) {
+			proxy.awaitMode(fromTarget)
+			if proxy.isSilenced(from) {
 				continue // keep reading, so that the sender's TCP window does not fill
 			}
 			if _, err := to.Write(buffer[:count]); err != nil {
@@ -177,7 +177,7 @@
 }
 
 // awaitMode blocks while the mode forwards nothing in that direction, and delays data in modeDelay.
-func (proxy *proxy) hold(fromTarget bool) {
+func (proxy *proxy) awaitMode(fromTarget bool) {
 	for {
 		proxy.mu.Lock()
 		mode, changed := proxy.mode, proxy.changed
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -29,7 +29,7 @@
 }
 
 // echoes reports whether a byte comes back on a connection within a time.
-func says(t *testing.T, conn net.Conn, within time.Duration) bool {
+func echoes(t *testing.T, conn net.Conn, within time.Duration) bool {
 	t.Helper()
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(within)))
 	_, err := conn.Write([]byte("a"))
@@ -55,10 +55,10 @@
 		return conn
 	}
 	open := dial()
-	assert.Assert(t, says(t, open, 5*time.Second))
-	proxy.silence()
-	assert.Assert(t, !says(t, open, 100*time.Millisecond))
-	assert.Assert(t, says(t, dial(), 5*time.Second))
-	proxy.set(modePass)
-	assert.Assert(t, !says(t, open, 100*time.Millisecond), "a mode change must not revive a silenced connection")
+	assert.Assert(t, echoes(t, open, 5*time.Second))
+	proxy.silenceOpen()
+	assert.Assert(t, !echoes(t, open, 100*time.Millisecond))
+	assert.Assert(t, echoes(t, dial(), 5*time.Second))
+	proxy.setMode(modePass)
+	assert.Assert(t, !echoes(t, open, 100*time.Millisecond), "a mode change must not revive a silenced connection")
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,16 +15,16 @@
 )
 
 // startupTime is how long VMs have to get ready before the load starts.
-const startTime = 1500 * time.Millisecond
+const startupTime = 1500 * time.Millisecond
 
 const (
 	// recoveryTime is how long after the latest possible start of a fault the system must have recovered, if the fault
 	// has ended by then.
-	calmBefore = 7 * time.Second
+	recoveryTime = 7 * time.Second
 	// settleTime bounds how long VMs take to detect that a fault has ended.
 	settleTime = 2 * time.Second
 	// faultFreeTime is how long callers keep sending from then on.
-	calmTime = quietEnd - calmBefore
+	faultFreeTime = quietEnd - recoveryTime
 )
 
 // Result summarises one run.
@@ -32,7 +32,7 @@
 	Seed       uint64
 	Faults     map[Kind]int
 	Requests   int
-	Answered   int
+	Succeeded  int
 	Statuses   map[string]int
 	Violations []Violation
 }
@@ -47,22 +47,22 @@
 func Run(ctx context.Context, settings Settings) (Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	environment, err := newWorld(ctx, settings)
+	environment, err := newEnvironment(ctx, settings)
 	defer environment.close()
 	if err != nil {
 		return Result{}, errors.Wrapf(err, "soak of seed %d", settings.Seed)
 	}
-	if !wait.For(ctx, startTime) {
+	if !wait.For(ctx, startupTime) {
 		return Result{}, errors.WithStack(ctx.Err())
 	}
 	plan := NewPlan(settings.Seed, settings.Length)
 	start := time.Now()
-	outcomes, faultFreeFrom := environment.load(ctx, plan, start.Add(settings.Length-calmTime))
-	wait.For(ctx, boundFree)
-	observations := &evidence{
-		outcomes: outcomes, harmful: environment.harmful.all(), runs: make(map[string][]platformserver.Run), log: environment.log, operator: environment.operator,
-		arrivals: environment.record.Arrivals(),
-		calm:     faultFreeFrom, life: environment.life, down: environment.down,
+	outcomes, faultFreeFrom := environment.runLoad(ctx, plan, start.Add(settings.Length-faultFreeTime))
+	wait.For(ctx, boundMemoryRelease)
+	observations := &observations{
+		outcomes: outcomes, crashing: environment.crashing.all(), runs: make(map[string][]platformserver.Run), log: environment.log, operator: environment.operator,
+		arrivals:      environment.record.Arrivals(),
+		faultFreeFrom: faultFreeFrom, incarnation: environment.incarnation, down: environment.down,
 	}
 	for _, run := range environment.record.Runs() {
 		observations.runs[run.ID] = append(observations.runs[run.ID], run)
@@ -73,7 +73,7 @@
 
 // runLoad runs callers and faults concurrently. It returns the callers' outcomes and the start of the fault-free time: the
 // given one, or settleTime after the last fault ended if that is later, as it may be for draining servers.
-func (environment *world) load(ctx context.Context, plan []Event, faultFreeFrom time.Time) ([]Outcome, time.Time) {
+func (environment *environment) runLoad(ctx context.Context, plan []Event, faultFreeFrom time.Time) ([]Outcome, time.Time) {
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
 	var running sync.WaitGroup
@@ -87,36 +87,36 @@
 			outcomes = append(outcomes, sent...)
 		})
 	}
-	environment.inject(ctx, plan)
+	environment.injectFaults(ctx, plan)
 	if settled := time.Now().Add(settleTime); settled.After(faultFreeFrom) {
 		faultFreeFrom = settled
 	}
-	wait.For(ctx, time.Until(faultFreeFrom.Add(calmTime)))
+	wait.For(ctx, time.Until(faultFreeFrom.Add(faultFreeTime)))
 	stop()
 	running.Wait()
 	return outcomes, faultFreeFrom
 }
 
-func (environment *world) vm(name string) *vm {
+func (environment *environment) vm(name string) *vm {
 	return environment.vms[slices.IndexFunc(environment.vms, func(vm *vm) bool { return vm.name == name })]
 }
 
 // incarnation returns the number of starts of a VM's process up to a time.
-func (environment *world) life(name string, at time.Time) int {
-	return environment.vm(name).process.life(at)
+func (environment *environment) incarnation(name string, at time.Time) int {
+	return environment.vm(name).process.incarnation(at)
 }
 
 // down reports whether a VM's process was not running, or still starting, at any time in a span.
-func (environment *world) down(name string, from, to time.Time) bool {
+func (environment *environment) down(name string, from, to time.Time) bool {
 	return environment.vm(name).process.down(from, to)
 }
 
 // checkMemory returns the violations that stand-ins recorded, and one for each engine with memory still reserved after the
 // run.
-func (environment *world) checkMemory() []Violation {
+func (environment *environment) checkMemory() []Violation {
 	var violations []Violation
 	for _, detail := range environment.record.Violations() {
-		violations = append(violations, Violation{Promise: PromiseMemory, What: detail})
+		violations = append(violations, Violation{Invariant: InvariantMemoryReleased, What: detail})
 	}
 	for _, backend := range environment.backends {
 		if backend.engine == nil {
@@ -124,7 +124,7 @@
 		}
 		if count, idle := backend.engine.Reservations(); count > 0 {
 			detail := fmt.Sprintf("%d reservations left at %s, unused for %s", count, backend.address, idle)
-			violations = append(violations, Violation{Promise: PromiseMemory, What: detail})
+			violations = append(violations, Violation{Invariant: InvariantMemoryReleased, What: detail})
 		}
 	}
 	return violations
@@ -139,12 +139,12 @@
 	}
 	for _, outcome := range outcomes {
 		status := fmt.Sprint(outcome.Status)
-		if !outcome.Whole {
+		if !outcome.Complete {
 			status += " truncated"
 		}
 		result.Statuses[status]++
-		if outcome.answered() {
-			result.Answered++
+		if outcome.succeeded() {
+			result.Succeeded++
 		}
 	}
 	return result
@@ -157,9 +157,9 @@
 		faults += count
 	}
 	text := fmt.Sprintf("seed %d: %d faults of %d kinds, %d requests, %d answered, %v, %d violations",
-		result.Seed, faults, len(result.Faults), result.Requests, result.Answered, result.Statuses, len(result.Violations))
+		result.Seed, faults, len(result.Faults), result.Requests, result.Succeeded, result.Statuses, len(result.Violations))
 	for _, violation := range result.Violations {
-		text += fmt.Sprintf("\n  %s: %s", violation.Promise, violation.What)
+		text += fmt.Sprintf("\n  %s: %s", violation.Invariant, violation.What)
 	}
 	return text
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -68,7 +68,7 @@
 			result, err := soak.Run(t.Context(), settings)
 			assert.NilError(t, err)
 			assert.Equal(t, len(result.Violations), 0, "%s", result)
-			assert.Assert(t, result.Answered > 0, "%s", result)
+			assert.Assert(t, result.Succeeded > 0, "%s", result)
 		})
 	}
 }
