--- a/internal/backend/httpbackend.go
+++ b/internal/backend/httpbackend.go
@@ -34,7 +34,7 @@
 type HTTPBackend struct {
 	pooled *http.Client
 	// unpooled uses each connection once. It is used for dispatches that may run at most
-	// once: a dead server is then detected when connecting, before anything is sent.
+	// once: a failed server is then detected when connecting, before anything is sent.
 	unpooled *http.Client
 }
 
--- a/internal/epoch/watch_test.go
+++ b/internal/epoch/watch_test.go
@@ -15,20 +15,20 @@
 	for name, test := range map[string]struct {
 		observed []epoch.Number
 		want     epoch.Number
-		// wantRises is how often the epoch increases, and wantEarlier how many observations are rejected as earlier.
-		wantRises, wantEarlier int
+		// wantIncreases is how often the epoch increases, and wantEarlier how many observations are rejected as earlier.
+		wantIncreases, wantEarlier int
 	}{
 		"no epoch":             {},
 		"the first epoch":      {observed: []epoch.Number{7}, want: 7},
 		"the same epoch twice": {observed: []epoch.Number{7, 7}, want: 7},
-		"a later epoch":        {observed: []epoch.Number{7, 8}, want: 8, wantRises: 1},
+		"a later epoch":        {observed: []epoch.Number{7, 8}, want: 8, wantIncreases: 1},
 		"an earlier epoch":     {observed: []epoch.Number{8, 7}, want: 8, wantEarlier: 1},
-		"several, interleaved": {observed: []epoch.Number{0, 2, 1, 3, 2, 3}, want: 3, wantRises: 2, wantEarlier: 2},
+		"several, interleaved": {observed: []epoch.Number{0, 2, 1, 3, 2, 3}, want: 3, wantIncreases: 2, wantEarlier: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			watch := epoch.New(func() time.Time { return now })
-			rises, earlier := 0, 0
+			increases, earlier := 0, 0
 			for _, number := range test.observed {
 				now = now.Add(time.Second)
 				changed := watch.Changed()
@@ -37,7 +37,7 @@
 				}
 				select {
 				case <-changed:
-					rises++
+					increases++
 					assert.Equal(t, watch.IncreasedAt(), now)
 				default:
 				}
@@ -45,9 +45,9 @@
 			current, known := watch.Current()
 			assert.Equal(t, current, test.want)
 			assert.Equal(t, known, len(test.observed) > 0)
-			assert.Equal(t, rises, test.wantRises)
+			assert.Equal(t, increases, test.wantIncreases)
 			assert.Equal(t, earlier, test.wantEarlier)
-			assert.Equal(t, watch.IncreasedAt().IsZero(), test.wantRises == 0)
+			assert.Equal(t, watch.IncreasedAt().IsZero(), test.wantIncreases == 0)
 		})
 	}
 }
--- a/internal/feed/epoch_test.go
+++ b/internal/feed/epoch_test.go
@@ -23,16 +23,16 @@
 func TestPagesOfEarlierEpochsAreRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		first, second epoch.Number
-		// rises is when the first peer moves to epoch 2; zero means never.
-		rises time.Duration
-		want  string
+		// increaseAfter is when the first peer moves to epoch 2; zero means never.
+		increaseAfter time.Duration
+		want          string
 		// wantEpoch is the current epoch after the read.
 		wantEpoch epoch.Number
 	}{
-		"the same epoch":                      {first: 2, second: 2, want: "first", wantEpoch: 2},
-		"a later epoch":                       {first: 3, second: 2, want: "first", wantEpoch: 3},
-		"an earlier epoch":                    {first: 1, second: 2, want: "direct", wantEpoch: 2},
-		"an earlier epoch that rises in time": {first: 1, second: 1, rises: 100 * time.Millisecond, want: "first", wantEpoch: 2},
+		"the same epoch":                         {first: 2, second: 2, want: "first", wantEpoch: 2},
+		"a later epoch":                          {first: 3, second: 2, want: "first", wantEpoch: 3},
+		"an earlier epoch":                       {first: 1, second: 2, want: "direct", wantEpoch: 2},
+		"an earlier epoch, then the current one": {first: 1, second: 1, increaseAfter: 100 * time.Millisecond, want: "first", wantEpoch: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,8 +41,8 @@
 				first, second, _, log := startReadersIn(t, peers{addresses: []string{readerAddress, secondAddress}}, epochs)
 				first.Add(withEpoch(newPage("first"), test.first), time.Now())
 				second.Add(withEpoch(newPage("second"), test.second), time.Now())
-				if test.rises > 0 {
-					time.AfterFunc(test.rises, func() { first.Add(withEpoch(newPage("first"), 2), time.Now()) })
+				if test.increaseAfter > 0 {
+					time.AfterFunc(test.increaseAfter, func() { first.Add(withEpoch(newPage("first"), 2), time.Now()) })
 				}
 				page, err := log.Read(t.Context(), follower.Position{}, 0)
 				assert.NilError(t, err)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -38,7 +38,7 @@
 // maxWait bounds the wait that a peer may request.
 const maxWait = 30 * time.Second
 
-// Role says from where a VM reads the logs, and whether peers read from it.
+// Role is the source from which a VM reads the logs, and whether peers read from it.
 type Role struct {
 	// ReaderAddress is the address of the reader from which this VM reads. It is
 	// empty if this VM reads the store itself.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -34,8 +34,8 @@
 	return &wire.Loads{Loads: []*wire.Load{load}}
 }
 
-// view returns the state of the only server.
-func view(tested *fleet.Fleet) routing.Server {
+// snapshot returns the state of the only server.
+func snapshot(tested *fleet.Fleet) routing.Server {
 	return tested.Snapshot(infra.KindEngine, func(string) bool { return false }).Servers[0]
 }
 
@@ -100,7 +100,7 @@
 			clock := &clock{now: time.Unix(1000, 0)}
 			tested := newFleet(clock)
 			c.action(tested, clock)
-			got := view(tested)
+			got := snapshot(tested)
 			assert.Equal(t, got.QueuedShort, c.wantShort)
 			assert.Equal(t, got.QueuedLong, c.wantLong)
 			assert.Equal(t, got.Free, c.wantFree)
@@ -108,7 +108,8 @@
 	}
 }
 
-// Each of the ways in which a server is known to drain must be recognised.
+// A server must be marked as draining whether the VM list, its load report or its response
+// says so.
 func TestDraining(t *testing.T) {
 	cases := map[string]func(tested *fleet.Fleet){
 		"by the VM list":     func(tested *fleet.Fleet) { tested.SetFleet(listed(true)) },
@@ -118,9 +119,9 @@
 	for name, action := range cases {
 		t.Run(name, func(t *testing.T) {
 			tested := newFleet(&clock{now: time.Unix(1000, 0)})
-			assert.Assert(t, !view(tested).Leaving)
+			assert.Assert(t, !snapshot(tested).Leaving)
 			action(tested)
-			assert.Assert(t, view(tested).Leaving)
+			assert.Assert(t, snapshot(tested).Leaving)
 		})
 	}
 }
@@ -132,28 +133,28 @@
 	tested := newFleet(clock)
 	assert.Assert(t, !tested.MarkFailed(id))
 	assert.Assert(t, !tested.MarkFailed(id))
-	assert.Assert(t, !view(tested).Ejected)
+	assert.Assert(t, !snapshot(tested).Ejected)
 	assert.Assert(t, tested.MarkFailed(id))
-	assert.Assert(t, view(tested).Ejected)
+	assert.Assert(t, snapshot(tested).Ejected)
 
 	// After the ejection time one probe request is allowed, and no other until it ends.
 	clock.now = clock.now.Add(time.Second)
-	assert.Assert(t, !view(tested).Ejected)
+	assert.Assert(t, !snapshot(tested).Ejected)
 	probe := tested.RecordDispatch(decision(false), routing.Request{})
-	assert.Assert(t, view(tested).Ejected)
+	assert.Assert(t, snapshot(tested).Ejected)
 
 	// The probe fails, which doubles the ejection time.
 	tested.MarkFailed(id)
 	probe.Finish()
 	clock.now = clock.now.Add(time.Second)
-	assert.Assert(t, view(tested).Ejected)
+	assert.Assert(t, snapshot(tested).Ejected)
 	clock.now = clock.now.Add(time.Second)
-	assert.Assert(t, !view(tested).Ejected)
+	assert.Assert(t, !snapshot(tested).Ejected)
 
 	// The probe succeeds, which ends the ejection.
 	tested.RecordDispatch(decision(false), routing.Request{})
 	tested.MarkSucceeded(id)
-	assert.Assert(t, !view(tested).Ejected)
+	assert.Assert(t, !snapshot(tested).Ejected)
 	assert.Assert(t, !tested.MarkFailed(id))
 }
 
@@ -179,7 +180,7 @@
 			clock.now = clock.now.Add(2 * time.Second)
 			request.FinishPrefill()
 			request.Finish()
-			assert.Equal(t, view(tested).PrefillRate, c.want)
+			assert.Equal(t, snapshot(tested).PrefillRate, c.want)
 		})
 	}
 }
--- a/internal/fold/fold.go
+++ b/internal/fold/verdict.go
@@ -1,5 +1,6 @@
-// Package fold has the types shared by all aggregates that are computed by
-// applying the records of the log in order: versions and verdicts.
+// Package fold has the types that the parts of the replicated state share: the version
+// of a record, and the verdict on it, which says whether the record was accepted when it
+// was applied. All VMs apply the records of the log in the same order.
 package fold
 
 // MaxBatch is the maximum number of records in one log entry.
--- a/internal/follower/bounded_test.go
+++ b/internal/follower/bounded_test.go
@@ -39,16 +39,16 @@
 func TestBounded(t *testing.T) {
 	const timeout = 700 * time.Millisecond
 	tests := map[string]struct {
-		log      parts
-		wait     time.Duration
-		wantFail bool
-		wantTook time.Duration
+		log         parts
+		wait        time.Duration
+		wantFail    bool
+		wantElapsed time.Duration
 	}{
-		"one part":                 {log: parts{count: 1, each: 600 * time.Millisecond}, wantTook: 600 * time.Millisecond},
-		"many slow parts":          {log: parts{count: 9, each: 600 * time.Millisecond}, wantTook: 5400 * time.Millisecond},
-		"no response":              {log: parts{count: 1, each: time.Minute}, wantFail: true, wantTook: timeout},
-		"a wait is no timeout":     {log: parts{count: 1, each: 600 * time.Millisecond}, wait: 1500 * time.Millisecond, wantTook: 2100 * time.Millisecond},
-		"no response after a wait": {log: parts{count: 1, each: time.Minute}, wait: 1500 * time.Millisecond, wantFail: true, wantTook: 2200 * time.Millisecond},
+		"one part":                 {log: parts{count: 1, each: 600 * time.Millisecond}, wantElapsed: 600 * time.Millisecond},
+		"many slow parts":          {log: parts{count: 9, each: 600 * time.Millisecond}, wantElapsed: 5400 * time.Millisecond},
+		"no response":              {log: parts{count: 1, each: time.Minute}, wantFail: true, wantElapsed: timeout},
+		"a wait is no timeout":     {log: parts{count: 1, each: 600 * time.Millisecond}, wait: 1500 * time.Millisecond, wantElapsed: 2100 * time.Millisecond},
+		"no response after a wait": {log: parts{count: 1, each: time.Minute}, wait: 1500 * time.Millisecond, wantFail: true, wantElapsed: 2200 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				start := time.Now()
 				_, err := follower.NewBounded(test.log, timeout).Read(t.Context(), follower.Position{}, test.wait)
 				assert.Equal(t, errors.Is(err, context.DeadlineExceeded), test.wantFail, "%v", err)
-				assert.Equal(t, time.Since(start), test.wantTook)
+				assert.Equal(t, time.Since(start), test.wantElapsed)
 			})
 		})
 	}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -31,7 +31,7 @@
 	confirmedAt atomic.Pointer[time.Time]
 	// invalid counts the values that could not be decoded.
 	invalid atomic.Int64
-	// cancelRound ends the current read or pause.
+	// cancelRound ends the current read, or the wait before the next one.
 	cancelRound atomic.Pointer[context.CancelCauseFunc]
 	// confirmed is closed on the first confirmation.
 	confirmed chan struct{}
@@ -69,8 +69,9 @@
 	return follower.invalid.Load()
 }
 
-// Refresh ends the current read or pause and reads again at once. It is for the time after a suspension of the machine:
-// a response to the earlier read confirms only old values, and timers did not run during the suspension.
+// Refresh ends the current read, or the wait before the next one, and reads again at once. It must be called after a
+// suspension of the machine: a response to the earlier read confirms only old values, and timers did not run during the
+// suspension.
 func (follower *Follower[T]) Refresh() {
 	if cancelRound := follower.cancelRound.Load(); cancelRound != nil {
 		(*cancelRound)(errRefreshed)
@@ -100,7 +101,7 @@
 // progress is the state of a follower between two reads.
 type progress struct {
 	position Position
-	// backoff is the pause after the next failure.
+	// backoff is the delay after the next failure.
 	backoff time.Duration
 	// lost says that the last read from the source failed.
 	lost bool
@@ -111,7 +112,7 @@
 	unsettled bool
 }
 
-// round reads once, pauses until the next read may start, and returns the new progress.
+// round reads once, waits until the next read may start, and returns the new progress.
 func (follower *Follower[T]) round(ctx context.Context, current progress) progress {
 	waiting := follower.settings.Wait
 	if current.lost || current.immediate {
--- a/internal/routing/lengthaware.go
+++ b/internal/routing/lengthaware.go
@@ -183,7 +183,7 @@
 }
 
 // longSetSize returns how many engines long prompts may use: as many as their backlog
-// needs. It is the same at every entry process that sees the same backlog.
+// needs. It is the same at every entry process that observes the same backlog.
 func (lengthaware LengthAware) longSetSize(servers, backlog int) int {
 	limit := max(1, int(float64(servers)*lengthaware.settings.MaxLongFraction))
 	return min(limit, 1+backlog/lengthaware.settings.LongBacklog)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Server is the state of one backend server as an entry process sees it.
+// Server is the state of one backend server as observed by an entry process.
 type Server struct {
 	ID         string
 	Address    string
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,7 +37,7 @@
 	OpenMin    time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenFactor float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax    time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// OpenMemory is how long the times of connection attempts are kept.
+	// OpenMemory is how long the duration of the last connection attempt to a server is kept.
 	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
@@ -192,7 +192,7 @@
 }
 
 // closeIdle closes the idle connections to a server. It is called after a request on
-// a reused connection failed: the other ones may be dead too without a reset, while
+// a reused connection failed: the other ones may be broken too without a reset, while
 // new connections work, and each would delay one more request until its timeout.
 func (client *Client) closeIdle(address string) {
 	client.mu.Lock()
