--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -86,7 +86,7 @@
 type NotRunError struct {
 	Address string
 	Reason  string
-	// Leaving is set if the server drains, and so accepts no new requests.
+	// Leaving is set if the server is draining, and so accepts no new requests.
 	Leaving bool
 	// Unreachable is set if no connection could be established.
 	Unreachable bool
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -50,7 +50,7 @@
 type Refusal struct {
 	Reason string `json:"reason"`
 	NotRun bool   `json:"not_run"`
-	// Leaving is set if the server drains, and so accepts no new requests.
+	// Leaving is set if the server is draining, and so accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -66,7 +66,7 @@
 	// Running and Waiting are numbers of requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Leaving is set if the engine drains, and so accepts no new requests.
+	// Leaving is set if the engine is draining, and so accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -17,7 +17,7 @@
 	DataCentre string
 	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Drains is set when the server drains, and so must not receive new requests.
+	// Drains is set when the server is draining, and so must not receive new requests.
 	Drains bool
 	// ColdRemaining is the time for which the server was still cold when the entry was written, or zero. A cold server
 	// can handle only few requests.
--- a/internal/entry/forwarder.go
+++ b/internal/entry/forwarder.go
@@ -40,7 +40,7 @@
 	fence uint64
 	// attempts is the number of attempts so far.
 	attempts int
-	// sending is the current attempt in the load accounting of the fleet.
+	// sending is the current attempt in the fleet's accounting of requests in flight.
 	sending fleet.ActiveRequest
 	// triedServers lists the servers that failed, which are excluded from routing. It is
 	// cleared when no other server is left.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -195,8 +195,8 @@
 	return server.ejection.RecordFailure(fleet.now(), fleet.settings.ejection())
 }
 
-// Leaving records that the server itself reported that it drains, that is, accepts no
-// new requests.
+// Leaving records that the server itself reported that it is draining, that is, accepts
+// no new requests.
 func (fleet *Fleet) Leaving(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
--- a/internal/infra/vmlist.go
+++ b/internal/infra/vmlist.go
@@ -26,7 +26,7 @@
 	DataCentre string   `json:"data_centre"`
 	Kind       string   `json:"kind"`
 	Models     []string `json:"models,omitempty"`
-	// Leaving is set if the VM drains before a planned shutdown.
+	// Leaving is set if the VM is draining before a planned shutdown.
 	Leaving bool `json:"leaving,omitempty"`
 	// ChecksFencing is set if the VM rejects commands with an outdated fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
--- a/internal/keeper/maintenance.go
+++ b/internal/keeper/maintenance.go
@@ -45,9 +45,9 @@
 	metrics *metrics
 	logger  *slog.Logger
 
-	// running is when this keeper first saw each running attempt, by request ID.
+	// running is when this keeper first observed each running attempt, by request ID.
 	running map[string]time.Time
-	// horizonDueSince is when the horizon was first seen to lag by horizonStep or
+	// horizonDueSince is when the horizon was first observed to lag by horizonStep or
 	// more, or zero if it does not.
 	horizonDueSince time.Time
 }
--- a/internal/routing/group.go
+++ b/internal/routing/group.go
@@ -7,7 +7,7 @@
 )
 
 // groupMemoryPercent is the maximum percentage of an engine's memory that one request
-// may use; the rest remains for other requests.
+// may use; the remainder is for other requests.
 const groupMemoryPercent = 90
 
 const percent = 100
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -35,7 +35,7 @@
 	PrefillRate float64
 	// Outstanding is the number of this entry process's requests in flight to the server.
 	Outstanding int
-	// Leaving is set when the server drains, and so must not receive new requests.
+	// Leaving is set when the server is draining, and so must not receive new requests.
 	Leaving bool
 	// Ejected is set while the server is avoided because of consecutive failures.
 	Ejected bool
--- a/internal/standin/engine/calls.go
+++ b/internal/standin/engine/calls.go
@@ -20,7 +20,7 @@
 // RefusalError reports that a request or command was refused and nothing ran.
 type RefusalError struct {
 	Reason string
-	// Leaving reports that the engine drains.
+	// Leaving reports that the engine is draining, and so accepts no new requests.
 	Leaving bool
 }
 
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -68,7 +68,7 @@
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// era is the number of rollbacks.
+	// era is the store's epoch, that is, the number of rollbacks so far.
 	era   int64
 	fault Fault
 	calls int
--- a/internal/standin/metastore/snapshot.go
+++ b/internal/standin/metastore/snapshot.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// headerEra is the response header with the number of rollbacks of the store so far.
+// headerEra is the response header with the store's epoch, the number of its rollbacks so far.
 const headerEra = "Store-Era"
 
 // Snapshot is a copy of the store's contents at one point in time.
@@ -22,7 +22,7 @@
 	return Snapshot{topics: cloneTopics(store.topics)}
 }
 
-// Restore rolls the store back to a snapshot: later writes are lost, their offsets are assigned again, and the era
+// Restore rolls the store back to a snapshot: later writes are lost, their offsets are assigned again, and the epoch
 // is incremented.
 func (store *Store) Restore(snapshot Snapshot) {
 	store.mu.Lock()
@@ -44,7 +44,7 @@
 	return cloned
 }
 
-// eraWriter adds the store's era to the response header, as of the time when the response is written.
+// eraWriter adds the store's epoch to the response header, as of the time when the response is written.
 type eraWriter struct {
 	http.ResponseWriter
 
@@ -53,23 +53,23 @@
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (eraWriter *eraWriter) WriteHeader(status int) {
-	eraWriter.setEra()
-	eraWriter.ResponseWriter.WriteHeader(status)
+func (epochWriter *eraWriter) WriteHeader(status int) {
+	epochWriter.setEra()
+	epochWriter.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (eraWriter *eraWriter) Write(data []byte) (int, error) {
-	eraWriter.setEra()
-	return eraWriter.ResponseWriter.Write(data) //nolint:wrapcheck // the writer's own errors
+func (epochWriter *eraWriter) Write(data []byte) (int, error) {
+	epochWriter.setEra()
+	return epochWriter.ResponseWriter.Write(data) //nolint:wrapcheck // the writer's own errors
 }
 
-func (eraWriter *eraWriter) setEra() {
-	if eraWriter.written {
+func (epochWriter *eraWriter) setEra() {
+	if epochWriter.written {
 		return
 	}
-	eraWriter.written = true
-	eraWriter.store.mu.Lock()
-	defer eraWriter.store.mu.Unlock()
-	eraWriter.Header().Set(headerEra, strconv.FormatInt(eraWriter.store.era, 10))
+	epochWriter.written = true
+	epochWriter.store.mu.Lock()
+	defer epochWriter.store.mu.Unlock()
+	epochWriter.Header().Set(headerEra, strconv.FormatInt(epochWriter.store.era, 10))
 }
