--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -75,7 +75,7 @@
 	NotRun bool
 	// Misdirected reports that the address now belongs to another server.
 	Misdirected bool
-	// Sealed reports that the response carries the seal that proves that it
+	// Sealed reports that the response carries the seal that shows that it
 	// came from a server.
 	Sealed bool
 	// FailedServer is the address of the server that failed, or empty.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -85,7 +85,7 @@
 		newSeries("checkpoint of keys", "bytes", "key", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
 			return float64(proto.Size(stateWithKeys(size).Encode()))
 		}),
-		newSeries("fold of keys", "µs CPU", "key (begin and finish)", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
+		newSeries("applying key records", "µs CPU", "key (begin and finish)", []int{5_000, 10_000, 20_000, 40_000}, func(size int) float64 {
 			return cpuMicroseconds(func() { stateWithKeys(size) })
 		}),
 		newSeries("memory of organisations", "bytes", "organisation", []int{2_500, 5_000, 10_000, 20_000}, func(size int) float64 {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -114,7 +114,7 @@
 	settings Settings, backends Backends, replica *replica.Replica, fleet *fleet.Fleet,
 	proposer Proposer, logger *slog.Logger,
 ) *Entry {
-	life, end := context.WithCancel(context.Background())
+	baseContext, cancelBase := context.WithCancel(context.Background())
 	registry := newRegistry(settings.Relay.MaxEnded)
 	prometheus := prometheus.NewRegistry()
 	return &Entry{
@@ -134,8 +134,8 @@
 		logger:      logger,
 		now:         time.Now,
 		peers:       &http.Client{},
-		baseContext: life,
-		cancelBase:  end,
+		baseContext: baseContext,
+		cancelBase:  cancelBase,
 	}
 }
 
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -85,13 +85,13 @@
 		ctx, cancel := context.WithTimeout(entry.baseContext, abandonedWatchTime)
 		defer cancel()
 		for {
-			moved := entry.replica.Changed()
+			changed := entry.replica.Changed()
 			if entry.holdsKey(abandoned) {
 				entry.proposeFinish(ctx, abandoned, request.NotRun(request.ReasonLogUnavailable, 0))
 				return
 			}
 			select {
-			case <-moved:
+			case <-changed:
 			case <-ctx.Done():
 				entry.logger.Info("abandoned begin record did not take effect", "request_id", abandoned.ID, "record_id", begin.GetId())
 				return
--- a/internal/entry/reservations.go
+++ b/internal/entry/reservations.go
@@ -34,11 +34,11 @@
 // those before it. This order prevents deadlocks between groups. While a group
 // waits, no other group can take the memory that it has reserved.
 func (forwarder *forwarder) reserveMemory(ctx context.Context, servers []routing.Server) (*reservations, *result) {
-	need := forwarder.routingRequest().RequiredMemory()
+	memory := forwarder.routingRequest().RequiredMemory()
 	reserved := &reservations{
 		entry:  forwarder.entry,
 		name:   attemptID(forwarder.request.ID, forwarder.attempts-1) + "@" + strings.Join(serverIDs(servers), ","),
-		tokens: (need + len(servers) - 1) / len(servers),
+		tokens: (memory + len(servers) - 1) / len(servers),
 	}
 	for _, server := range servers {
 		reserved.requested = append(reserved.requested, server)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -263,11 +263,11 @@
 	log.logger.Info("could not read log from peer", "log", log.name, "address", address, "error", err)
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	time := log.settings.AvoidTime
+	avoidTime := log.settings.AvoidTime
 	if errors.Is(err, errNoContent) {
-		time = log.settings.AvoidTimeNoContent
+		avoidTime = log.settings.AvoidTimeNoContent
 	}
-	log.avoidedUntil[address] = log.now().Add(time)
+	log.avoidedUntil[address] = log.now().Add(avoidTime)
 }
 
 // logReader logs a change of the reader from which this VM reads.
--- a/internal/follower/bounded.go
+++ b/internal/follower/bounded.go
@@ -27,8 +27,8 @@
 	defer cancel(nil)
 	timer := time.AfterFunc(wait+bounded.timeout, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
-	extend := func() { timer.Reset(bounded.timeout) }
-	return bounded.log.Read(context.WithValue(limited, partKey{}, extend), from, wait) //nolint:wrapcheck // the log adds the context
+	restartTimer := func() { timer.Reset(bounded.timeout) }
+	return bounded.log.Read(context.WithValue(limited, partKey{}, restartTimer), from, wait) //nolint:wrapcheck // the log adds the context
 }
 
 // partKey is the context key of the function that PartReceived calls.
@@ -37,7 +37,7 @@
 // PartReceived restarts the time limit of a read through Bounded, after a part of
 // the response was received. Without such a limit in ctx it does nothing.
 func PartReceived(ctx context.Context) {
-	if extend, ok := ctx.Value(partKey{}).(func()); ok {
-		extend()
+	if restartTimer, ok := ctx.Value(partKey{}).(func()); ok {
+		restartTimer()
 	}
 }
--- a/internal/keeper/fakelog_test.go
+++ b/internal/keeper/fakelog_test.go
@@ -48,12 +48,12 @@
 }
 
 func (fakelog *fakeLog) Read(ctx context.Context, from uint64) (infra.Page, error) {
-	page, grown, err := fakelog.page(from)
+	page, changed, err := fakelog.page(from)
 	if err != nil || len(page.Entries) > 0 {
 		return page, err
 	}
 	select {
-	case <-grown:
+	case <-changed:
 		page, _, err = fakelog.page(from)
 		return page, err
 	case <-time.After(time.Second):
--- a/internal/keeper/maintenance.go
+++ b/internal/keeper/maintenance.go
@@ -79,20 +79,20 @@
 func (maintenance *maintenance) failOverdue(now time.Time) {
 	var running []ledger.Attempt
 	maintenance.replica.View(func(state *state.State) { running = state.Ledger.Running() })
-	firstSeen := make(map[string]time.Time, len(running))
+	firstObserved := make(map[string]time.Time, len(running))
 	for _, attempt := range running {
 		since, ok := maintenance.running[attempt.RequestID]
 		if !ok {
 			since = now
 		}
-		firstSeen[attempt.RequestID] = since
+		firstObserved[attempt.RequestID] = since
 		allowed := attempt.Time + maintenance.settings.Keys.SettleAfter
 		if now.Sub(since) < allowed+maintenance.backupDelay(attempt.RequestID) {
 			continue
 		}
 		maintenance.fail(attempt)
 	}
-	maintenance.running = firstSeen
+	maintenance.running = firstObserved
 }
 
 // fail proposes a record that ends the attempt as failed.
@@ -150,12 +150,12 @@
 func (maintenance *maintenance) runCheckpoints(ctx context.Context) {
 	reader := newCheckpointReader()
 	next := uint64(0)
-	lastSeen := time.Now()
+	newestAt := time.Now()
 	for ctx.Err() == nil {
-		due := lastSeen.Add(maintenance.settings.Log.CheckpointInterval + maintenance.backupDelay(checkpointKey))
-		if time.Now().After(due) && maintenance.replica.Next() > 0 {
+		writeAt := newestAt.Add(maintenance.settings.Log.CheckpointInterval + maintenance.backupDelay(checkpointKey))
+		if time.Now().After(writeAt) && maintenance.replica.Next() > 0 {
 			maintenance.writeCheckpoint(ctx)
-			lastSeen = time.Now()
+			newestAt = time.Now()
 		}
 		readCtx, cancel := context.WithTimeout(ctx, maintenance.settings.Intervals.Maintenance)
 		page, err := maintenance.checkpoints.Read(readCtx, next)
@@ -171,7 +171,7 @@
 		for _, entry := range page.Entries {
 			next = entry.Offset + 1
 			if reader.add(entry) {
-				lastSeen = time.Now()
+				newestAt = time.Now()
 			}
 		}
 	}
--- a/internal/routing/roundrobin.go
+++ b/internal/routing/roundrobin.go
@@ -27,6 +27,6 @@
 	if !fitsSingleServer(servers, request) {
 		return chooseGroup(servers, request)
 	}
-	turn := roundrobin.next.Add(1)
-	return choose(servers[turn%uint64(len(servers))], "round robin")
+	next := roundrobin.next.Add(1)
+	return choose(servers[next%uint64(len(servers))], "round robin")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -166,11 +166,11 @@
 // PackSlots.
 func settingKey(field string) string {
 	key := &strings.Builder{}
-	for i, letter := range field {
-		if unicode.IsUpper(letter) && i > 0 {
+	for i, character := range field {
+		if unicode.IsUpper(character) && i > 0 {
 			key.WriteByte('_')
 		}
-		key.WriteRune(unicode.ToLower(letter))
+		key.WriteRune(unicode.ToLower(character))
 	}
 	return key.String()
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -52,14 +52,14 @@
 	if err != nil {
 		return errors.Wrapf(err, "start backend server %s", server.vm.ID)
 	}
-	built := server.build()
+	instance := server.build()
 	serverContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	server.running = &built
+	server.running = &instance
 	server.cancel = cancel
-	server.http = &http.Server{Handler: built.handler()} //nolint:gosec // for tests, on loopback
-	if built.engine != nil {
-		go built.engine.Run()
-		go built.engine.RunMaintenance(serverContext)
+	server.http = &http.Server{Handler: instance.handler()} //nolint:gosec // for tests, on loopback
+	if instance.engine != nil {
+		go instance.engine.Run()
+		go instance.engine.RunMaintenance(serverContext)
 	}
 	go func(http *http.Server) { _ = http.Serve(listener) }(server.http)
 	return nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -264,7 +264,7 @@
 // were not closed, each of them delayed one request until its timeout.
 func TestIdleConnectionsAreClosedAfterATimeout(t *testing.T) {
 	const idle = 3
-	together := newBarrier(idle)
+	allReceived := newBarrier(idle)
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, nth int64) {
 		for {
 			request, ok := readRequest(requests)
@@ -272,7 +272,7 @@
 				return
 			}
 			if nth <= idle {
-				together.wait()
+				allReceived.wait()
 			}
 			_, _ = io.WriteString(conn, reply(request.Header.Get("Request-Id"), "whole"))
 			if nth <= idle {
@@ -298,7 +298,7 @@
 // so the idle connections must stay open.
 func TestCancelledRequestKeepsIdleConnections(t *testing.T) {
 	const idle = 2
-	together := newBarrier(idle)
+	allReceived := newBarrier(idle)
 	server := newServer(t, func(conn net.Conn, requests *bufio.Reader, _ int64) {
 		for {
 			request, ok := readRequest(requests)
@@ -310,7 +310,7 @@
 				continue
 			}
 			if strings.HasPrefix(id, "first") {
-				together.wait()
+				allReceived.wait()
 			}
 			_, _ = io.WriteString(conn, reply(id, "whole"))
 		}
