--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -86,8 +86,8 @@
 type NotRunError struct {
 	Address string
 	Reason  string
-	// Leaving is set if the server is draining, and so accepts no new requests.
-	Leaving bool
+	// Draining is set if the server is draining, and so accepts no new requests.
+	Draining bool
 	// Unreachable is set if no connection could be established.
 	Unreachable bool
 }
--- a/internal/backend/httpbackend.go
+++ b/internal/backend/httpbackend.go
@@ -146,7 +146,7 @@
 	var refusal Refusal
 	err := json.Unmarshal(body, &refusal)
 	if err == nil && refusal.NotRun {
-		return &NotRunError{Address: address, Reason: refusal.Reason, Leaving: refusal.Leaving}
+		return &NotRunError{Address: address, Reason: refusal.Reason, Draining: refusal.Draining}
 	}
 	return &StatusError{Address: address, Status: response.StatusCode, Body: string(bytes.TrimSpace(body))}
 }
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -50,8 +50,8 @@
 type Refusal struct {
 	Reason string `json:"reason"`
 	NotRun bool   `json:"not_run"`
-	// Leaving is set if the server is draining, and so accepts no new requests.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set if the server is draining, and so accepts no new requests.
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // Load is the load of a model engine as the engine reports it, with a lag.
@@ -66,8 +66,8 @@
 	// Running and Waiting are numbers of requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Leaving is set if the engine is draining, and so accepts no new requests.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set if the engine is draining, and so accepts no new requests.
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // StreamInfo describes a stream that an engine keeps.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -23,7 +23,7 @@
 
 	"github.com/mastwinch/mastwinch/internal/backend"
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/routing"
 	"github.com/mastwinch/mastwinch/internal/standin/engine"
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
@@ -203,7 +203,7 @@
 	fleetMessage := &wire.Fleet{}
 	for i := range size {
 		fleetMessage.Servers = append(fleetMessage.Servers, &wire.Server{
-			Id: fmt.Sprintf("engine-%03d", i), Kind: infra.KindEngine, Models: []string{model}, MemoryTokens: 1 << 19,
+			Id: fmt.Sprintf("engine-%03d", i), Kind: platformclient.KindEngine, Models: []string{model}, MemoryTokens: 1 << 19,
 		})
 	}
 	servers.SetFleet(fleetMessage)
@@ -212,7 +212,7 @@
 	request := routing.Request{Model: model, Tokens: 1000, MaxTokens: 16, TimeLeft: time.Second}
 	return cpuMicroseconds(func() {
 		for range decisionCount {
-			policy.Decide(servers.Snapshot(infra.KindEngine, func(string) bool { return false }), request, random)
+			policy.Decide(servers.Snapshot(platformclient.KindEngine, func(string) bool { return false }), request, random)
 		}
 	}) / decisionCount
 }
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -8,8 +8,8 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/keeper"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 )
 
 // readWait is the maximum time for which a read at the end of the log waits for an entry.
@@ -25,9 +25,9 @@
 	logger := newLogger("mw-keeper", settings.VM, settings.Logging)
 	client := &http.Client{}
 	process, err := keeper.New(settings, keeper.Platform{
-		Log:         infra.NewHTTPLog(client, settings.Platform, settings.Log.Stream, readWait),
-		Checkpoints: infra.NewHTTPLog(client, settings.Platform, settings.Log.CheckpointStream, settings.Intervals.Maintenance/2),
-		VMList:      infra.NewHTTPVMList(client, settings.Platform),
+		Log:         platformclient.NewHTTPLog(client, settings.Platform, settings.Log.Stream, readWait),
+		Checkpoints: platformclient.NewHTTPLog(client, settings.Platform, settings.Log.CheckpointStream, settings.Intervals.Maintenance/2),
+		VMList:      platformclient.NewHTTPVMList(client, settings.Platform),
 		Engines:     backend.NewHTTPBackend(),
 	}, logger)
 	if err != nil {
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -17,9 +17,9 @@
 	organisations map[string]Organisation
 	// evacuations has the version of the record that began each evacuation, by data centre. The map is never modified once
 	// the value is shared.
-	evacuations map[string]fold.Version
+	evacuations map[string]statemachine.Version
 	// version is the version of the last accepted record. It never decreases from one value to its successors.
-	version fold.Version
+	version statemachine.Version
 }
 
 // Organisation is a tenant with its limits.
@@ -30,16 +30,16 @@
 	// MaxConcurrent is the maximum number of its requests that one entry runs at the same time.
 	MaxConcurrent uint32
 	// Version is the version of the record that put it.
-	Version fold.Version
+	Version statemachine.Version
 }
 
 // New returns a configuration without organisations and evacuations.
 func New() Configuration {
-	return Configuration{organisations: map[string]Organisation{}, evacuations: map[string]fold.Version{}}
+	return Configuration{organisations: map[string]Organisation{}, evacuations: map[string]statemachine.Version{}}
 }
 
 // Version returns the version of the last accepted record, or zero if there is none.
-func (configuration Configuration) Version() fold.Version {
+func (configuration Configuration) Version() statemachine.Version {
 	return configuration.version
 }
 
@@ -59,28 +59,28 @@
 // WithOrganisation returns the configuration after put, or the same configuration
 // if put is refused.
 func (configuration Configuration) WithOrganisation(
-	version fold.Version, put *wire.PutOrganisation,
-) (Configuration, fold.Verdict) {
+	version statemachine.Version, put *wire.PutOrganisation,
+) (Configuration, statemachine.Verdict) {
 	organisation := put.GetOrganisation()
 	if organisation.GetName() == "" || organisation.GetWeight() == 0 || organisation.GetMaxConcurrent() == 0 {
-		return configuration, fold.Refuse(fold.ReasonMalformed)
+		return configuration, statemachine.Refuse(statemachine.ReasonMalformed)
 	}
 	current := configuration.organisations[organisation.GetName()]
 	if uint64(current.Version) != put.GetExpectedVersion() {
-		return configuration, fold.Refuse(fold.ReasonConflict)
+		return configuration, statemachine.Refuse(statemachine.ReasonConflict)
 	}
 	organisations := maps.Clone(configuration.organisations)
 	organisations[organisation.GetName()] = newOrganisation(organisation, version)
-	return configuration.withOrganisations(organisations, version), fold.Accept(version)
+	return configuration.withOrganisations(organisations, version), statemachine.Accept(version)
 }
 
 // WithoutOrganisation returns the configuration after remove, or the same
 // configuration if remove is refused.
 func (configuration Configuration) WithoutOrganisation(
-	version fold.Version, remove *wire.RemoveOrganisation,
-) (Configuration, fold.Verdict) {
-	versionOf := func(organisation Organisation) fold.Version { return organisation.Version }
-	organisations, verdict := fold.Remove(configuration.organisations, remove.GetName(), versionOf, remove.GetExpectedVersion(), version)
+	version statemachine.Version, remove *wire.RemoveOrganisation,
+) (Configuration, statemachine.Verdict) {
+	versionOf := func(organisation Organisation) statemachine.Version { return organisation.Version }
+	organisations, verdict := statemachine.Remove(configuration.organisations, remove.GetName(), versionOf, remove.GetExpectedVersion(), version)
 	if !verdict.Accepted {
 		return configuration, verdict
 	}
@@ -88,7 +88,7 @@
 }
 
 func (configuration Configuration) withOrganisations(
-	organisations map[string]Organisation, version fold.Version,
+	organisations map[string]Organisation, version statemachine.Version,
 ) Configuration {
 	configuration.organisations = organisations
 	configuration.version = version
@@ -117,18 +117,18 @@
 // Decode returns the configuration that Encode wrote into state.
 func Decode(state *wire.State) Configuration {
 	configuration := New()
-	configuration.version = fold.Version(state.GetConfigurationVersion())
+	configuration.version = statemachine.Version(state.GetConfigurationVersion())
 	for _, organisation := range state.GetOrganisations() {
-		version := fold.Version(organisation.GetVersion())
+		version := statemachine.Version(organisation.GetVersion())
 		configuration.organisations[organisation.GetName()] = newOrganisation(organisation, version)
 	}
 	for _, evacuation := range state.GetEvacuations() {
-		configuration.evacuations[evacuation.GetDataCentre()] = fold.Version(evacuation.GetVersion())
+		configuration.evacuations[evacuation.GetDataCentre()] = statemachine.Version(evacuation.GetVersion())
 	}
 	return configuration
 }
 
-func newOrganisation(organisation *wire.Organisation, version fold.Version) Organisation {
+func newOrganisation(organisation *wire.Organisation, version statemachine.Version) Organisation {
 	return Organisation{
 		Name:          organisation.GetName(),
 		Weight:        organisation.GetWeight(),
--- a/internal/configuration/evacuation.go
+++ b/internal/configuration/evacuation.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -13,7 +13,7 @@
 type Evacuation struct {
 	DataCentre string
 	// Version is the version of the record that began it.
-	Version fold.Version
+	Version statemachine.Version
 }
 
 // Evacuations returns all evacuations, sorted by data centre.
@@ -39,26 +39,26 @@
 
 // WithEvacuation returns the configuration after begin, or the same configuration if begin is refused.
 func (configuration Configuration) WithEvacuation(
-	version fold.Version, begin *wire.BeginEvacuation,
-) (Configuration, fold.Verdict) {
+	version statemachine.Version, begin *wire.BeginEvacuation,
+) (Configuration, statemachine.Verdict) {
 	dataCentre := begin.GetDataCentre()
 	if dataCentre == "" {
-		return configuration, fold.Refuse(fold.ReasonMalformed)
+		return configuration, statemachine.Refuse(statemachine.ReasonMalformed)
 	}
 	if configuration.Evacuated(dataCentre) {
-		return configuration, fold.Refuse(fold.ReasonConflict)
+		return configuration, statemachine.Refuse(statemachine.ReasonConflict)
 	}
 	evacuations := maps.Clone(configuration.evacuations)
 	evacuations[dataCentre] = version
-	return configuration.withEvacuations(evacuations, version), fold.Accept(version)
+	return configuration.withEvacuations(evacuations, version), statemachine.Accept(version)
 }
 
 // WithoutEvacuation returns the configuration after end, or the same configuration if end is refused.
 func (configuration Configuration) WithoutEvacuation(
-	version fold.Version, end *wire.EndEvacuation,
-) (Configuration, fold.Verdict) {
-	versionOf := func(began fold.Version) fold.Version { return began }
-	evacuations, verdict := fold.Remove(configuration.evacuations, end.GetDataCentre(), versionOf, end.GetExpectedVersion(), version)
+	version statemachine.Version, end *wire.EndEvacuation,
+) (Configuration, statemachine.Verdict) {
+	versionOf := func(began statemachine.Version) statemachine.Version { return began }
+	evacuations, verdict := statemachine.Remove(configuration.evacuations, end.GetDataCentre(), versionOf, end.GetExpectedVersion(), version)
 	if !verdict.Accepted {
 		return configuration, verdict
 	}
@@ -66,7 +66,7 @@
 }
 
 func (configuration Configuration) withEvacuations(
-	evacuations map[string]fold.Version, version fold.Version,
+	evacuations map[string]statemachine.Version, version statemachine.Version,
 ) Configuration {
 	configuration.evacuations = evacuations
 	configuration.version = version
--- a/internal/configuration/evacuation_test.go
+++ b/internal/configuration/evacuation_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/mastwinch/mastwinch/internal/configuration"
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -24,34 +24,34 @@
 	for name, test := range map[string]struct {
 		// records are applied with the versions 1, 2 and so on.
 		records []*wire.Record
-		reasons []fold.Reason
+		reasons []statemachine.Reason
 		want    []configuration.Evacuation
 	}{
-		"one evacuation": {records: []*wire.Record{begin("a")}, reasons: []fold.Reason{""}, want: []configuration.Evacuation{{DataCentre: "a", Version: 1}}},
-		"without a name": {records: []*wire.Record{begin("")}, reasons: []fold.Reason{fold.ReasonMalformed}},
+		"one evacuation": {records: []*wire.Record{begin("a")}, reasons: []statemachine.Reason{""}, want: []configuration.Evacuation{{DataCentre: "a", Version: 1}}},
+		"without a name": {records: []*wire.Record{begin("")}, reasons: []statemachine.Reason{statemachine.ReasonMalformed}},
 		"begun twice": {
-			records: []*wire.Record{begin("a"), begin("a")}, reasons: []fold.Reason{"", fold.ReasonConflict},
+			records: []*wire.Record{begin("a"), begin("a")}, reasons: []statemachine.Reason{"", statemachine.ReasonConflict},
 			want: []configuration.Evacuation{{DataCentre: "a", Version: 1}},
 		},
 		"two evacuations, one ended": {
-			records: []*wire.Record{begin("b"), begin("a"), end("b", 1)}, reasons: []fold.Reason{"", "", ""},
+			records: []*wire.Record{begin("b"), begin("a"), end("b", 1)}, reasons: []statemachine.Reason{"", "", ""},
 			want: []configuration.Evacuation{{DataCentre: "a", Version: 2}},
 		},
 		"end with another version or data centre": {
 			records: []*wire.Record{begin("a"), end("a", 7), end("b", 1)},
-			reasons: []fold.Reason{"", fold.ReasonConflict, fold.ReasonNotFound},
+			reasons: []statemachine.Reason{"", statemachine.ReasonConflict, statemachine.ReasonNotFound},
 			want:    []configuration.Evacuation{{DataCentre: "a", Version: 1}},
 		},
 		"begun again after its end": {
-			records: []*wire.Record{begin("a"), end("a", 1), begin("a")}, reasons: []fold.Reason{"", "", ""},
+			records: []*wire.Record{begin("a"), end("a", 1), begin("a")}, reasons: []statemachine.Reason{"", "", ""},
 			want: []configuration.Evacuation{{DataCentre: "a", Version: 3}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			current := configuration.New()
 			for index, record := range test.records {
-				var verdict fold.Verdict
-				version := fold.Version(index + 1)
+				var verdict statemachine.Verdict
+				version := statemachine.Version(index + 1)
 				if body := record.GetBeginEvacuation(); body != nil {
 					current, verdict = current.WithEvacuation(version, body)
 				} else {
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -17,8 +17,8 @@
 	DataCentre string
 	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Drains is set when the server is draining, and so must not receive new requests.
-	Drains bool
+	// Draining is set when the server is draining, and so must not receive new requests.
+	Draining bool
 	// ColdRemaining is the time for which the server was still cold when the entry was written, or zero. A cold server
 	// can handle only few requests.
 	ColdRemaining time.Duration
@@ -32,7 +32,7 @@
 		return false
 	}
 	if entry.Started.Equal(other.Started) {
-		return entry.Drains && !other.Drains
+		return entry.Draining && !other.Draining
 	}
 	return entry.Started.After(other.Started)
 }
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -10,9 +10,9 @@
 	"github.com/gorilla/mux"
 
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/session"
 	"github.com/mastwinch/mastwinch/internal/state"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -192,11 +192,11 @@
 	writeJSON(w, changeStatusCode(verdict), response)
 }
 
-func changeStatusCode(verdict fold.Verdict) int {
+func changeStatusCode(verdict statemachine.Verdict) int {
 	switch {
 	case verdict.Accepted:
 		return http.StatusOK
-	case verdict.Reason == fold.ReasonNotFound:
+	case verdict.Reason == statemachine.ReasonNotFound:
 		return http.StatusNotFound
 	default:
 		return http.StatusConflict
--- a/internal/entry/adopt.go
+++ b/internal/entry/adopt.go
@@ -85,7 +85,7 @@
 	defer stop()
 	stopClosing := context.AfterFunc(timedCtx, stream.Close)
 	defer stopClosing()
-	forwarder := &forwarder{activeRequest: adopted, entry: entry, sending: fleet.UntrackedRequest(), mayHaveRun: true}
+	forwarder := &forwarder{activeRequest: adopted, entry: entry, dispatched: fleet.UntrackedRequest(), mayHaveRun: true}
 	result := forwarder.relayStream(timedCtx, stream, location.source())
 	switch result.kind {
 	case resultCompleted:
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -27,8 +27,8 @@
 // send sends the request once, to the servers of a routing decision. If there
 // are several, memory is reserved at each before the request is sent to the first.
 func (forwarder *forwarder) send(ctx context.Context, decision routing.Decision) result {
-	forwarder.sending = forwarder.entry.fleet.RecordDispatch(decision, forwarder.routingRequest())
-	defer forwarder.sending.Finish()
+	forwarder.dispatched = forwarder.entry.fleet.RecordDispatch(decision, forwarder.routingRequest())
+	defer forwarder.dispatched.Finish()
 	attempt := forwarder.attempts
 	forwarder.attempts++
 	group := ""
@@ -100,8 +100,8 @@
 func (forwarder *forwarder) dispatchFailure(ctx context.Context, server routing.Server, err error) result {
 	var notRun *backend.NotRunError
 	if errors.As(err, &notRun) {
-		if notRun.Leaving {
-			forwarder.entry.fleet.Leaving(server.ID)
+		if notRun.Draining {
+			forwarder.entry.fleet.MarkDraining(server.ID)
 		}
 		return result{kind: resultNotRun, reason: request.ReasonEngineRefused, server: server.ID, err: err}
 	}
@@ -176,7 +176,7 @@
 		forwarder.entry.metrics.dropped.Inc()
 		return
 	}
-	forwarder.sending.FinishPrefill()
+	forwarder.dispatched.FinishPrefill()
 	if frame.Seq == 0 {
 		forwarder.recordFirstToken()
 	}
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -17,12 +17,12 @@
 
 	"github.com/mastwinch/mastwinch/internal/backend"
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/fold"
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/keeperclient"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/request"
 	"github.com/mastwinch/mastwinch/internal/state"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -79,7 +79,7 @@
 	// running is a closed channel while the process runs, and an open one while it is paused.
 	running chan struct{}
 	paused  bool
-	dead    bool
+	killed  bool
 	// wasInterrupted reports that the process has been paused or killed, so that it is
 	// not required to meet deadlines.
 	wasInterrupted bool
@@ -117,7 +117,7 @@
 // restart kills node i and replaces it by a new incarnation.
 func (cluster *cluster) restart(i int) {
 	if old := cluster.nodes[i]; old != nil {
-		cluster.setDead(old)
+		cluster.kill(old)
 	}
 	settings := DefaultSettings()
 	settings.VM = fmt.Sprintf("vm%d", i)
@@ -126,8 +126,8 @@
 	close(node.running)
 	servers := fleet.New(settings.Fleet, time.Now)
 	servers.SetFleet(&wire.Fleet{Servers: []*wire.Server{
-		{Id: "receipts-0", Address: "receipts-0", Kind: infra.KindService, Models: []string{testService}, DataCentre: "north"},
-		{Id: "receipts-1", Address: "receipts-1", Kind: infra.KindService, Models: []string{testService}, DataCentre: "south"},
+		{Id: "receipts-0", Address: "receipts-0", Kind: platformclient.KindService, Models: []string{testService}, DataCentre: "north"},
+		{Id: "receipts-1", Address: "receipts-1", Kind: platformclient.KindService, Models: []string{testService}, DataCentre: "south"},
 	}})
 	node.entry = NewWith(settings, node, node.replica, servers, cluster.mutant.proposer(node), logger)
 	cluster.mu.Lock()
@@ -144,9 +144,9 @@
 	}
 }
 
-func (cluster *cluster) setDead(node *node) {
+func (cluster *cluster) kill(node *node) {
 	cluster.mu.Lock()
-	node.dead = true
+	node.killed = true
 	node.wasInterrupted = true
 	if node.paused {
 		node.paused = false
@@ -199,7 +199,7 @@
 func (cluster *cluster) appendNow(record *wire.Record) {
 	cluster.batches = append(cluster.batches, &wire.Batch{Records: []*wire.Record{record}})
 	for _, node := range cluster.nodes {
-		if node != nil && !node.paused && !node.dead {
+		if node != nil && !node.paused && !node.killed {
 			cluster.applyBatches(node)
 		}
 	}
@@ -242,17 +242,17 @@
 	<-running
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	return !node.dead
+	return !node.killed
 }
 
 // Propose implements Proposer. It appends the record repeatedly until its verdict is
 // read back from the log.
-func (node *node) Propose(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+func (node *node) Propose(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 	verdict, stop := node.replica.Await(record.GetId())
 	defer stop()
 	for {
 		if !node.cluster.awaitRunning(node) {
-			return fold.Verdict{}, keeperclient.ErrUnsettled
+			return statemachine.Verdict{}, keeperclient.ErrUnsettled
 		}
 		node.cluster.append(record)
 		select {
@@ -260,11 +260,11 @@
 			// A pause between the verdict and the dispatch is the hardest case: the
 			// key may be settled in the meantime.
 			if !node.cluster.awaitRunning(node) {
-				return fold.Verdict{}, keeperclient.ErrUnsettled
+				return statemachine.Verdict{}, keeperclient.ErrUnsettled
 			}
 			return settled, nil
 		case <-ctx.Done():
-			return fold.Verdict{}, keeperclient.ErrUnsettled
+			return statemachine.Verdict{}, keeperclient.ErrUnsettled
 		case <-time.After(reproposeInterval):
 		}
 	}
@@ -334,7 +334,7 @@
 		}
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
-		if !node.dead {
+		if !node.killed {
 			cluster.responses = append(cluster.responses, received)
 		}
 	})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -19,13 +19,13 @@
 
 	"github.com/mastwinch/mastwinch/internal/backend"
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/keeperclient"
 	"github.com/mastwinch/mastwinch/internal/link"
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/retrybudget"
 	"github.com/mastwinch/mastwinch/internal/routing"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wait"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -54,7 +54,7 @@
 	// Propose appends a record and returns the verdict that is read back from the
 	// log. It returns keeperclient.ErrUnsettled if ctx ends first; the record may
 	// still take effect then.
-	Propose(ctx context.Context, record *wire.Record) (fold.Verdict, error)
+	Propose(ctx context.Context, record *wire.Record) (statemachine.Verdict, error)
 	// Connected reports whether there is a connection to a keeper.
 	Connected() bool
 	// Ready reports whether the replicated state has been loaded.
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -6,7 +6,7 @@
 	"github.com/gorilla/mux"
 
 	"github.com/mastwinch/mastwinch/internal/configuration"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/state"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -83,13 +83,13 @@
 	plan := EvacuationPlan{DataCentre: mux.Vars(r)["name"]}
 	plan.Version = uint64(current.Evacuation(plan.DataCentre).Version)
 	evacuated := func(dataCentre string) bool { return dataCentre == plan.DataCentre || current.Evacuated(dataCentre) }
-	for _, kind := range []string{infra.KindEngine, infra.KindService} {
+	for _, kind := range []string{platformclient.KindEngine, platformclient.KindService} {
 		planned := KindPlan{Kind: kind}
 		for _, server := range entry.fleet.Snapshot(kind, evacuated).Servers {
 			switch {
 			case server.DataCentre == plan.DataCentre:
 				planned.InDataCentre++
-			case !server.Leaving:
+			case !server.Draining:
 				planned.Remaining++
 			}
 		}
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/request"
 )
 
@@ -85,7 +85,7 @@
 		assert.Equal(t, status, http.StatusOK)
 		var plan EvacuationPlan
 		assert.NilError(t, json.Unmarshal([]byte(body), &plan))
-		assert.DeepEqual(t, plan, EvacuationPlan{DataCentre: "south", Kinds: []KindPlan{{Kind: infra.KindService, InDataCentre: 1}}})
+		assert.DeepEqual(t, plan, EvacuationPlan{DataCentre: "south", Kinds: []KindPlan{{Kind: platformclient.KindService, InDataCentre: 1}}})
 		_, refused = adminNode.requestChange(t, http.MethodPut, "/v1/admin/evacuations/south")
 		assert.Equal(t, refused, 0)
 		called, completed = cluster.callService(t, 3)
--- a/internal/entry/forwarder.go
+++ b/internal/entry/forwarder.go
@@ -8,7 +8,7 @@
 
 	"github.com/mastwinch/mastwinch/internal/fingerprint"
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/quarantine"
 	"github.com/mastwinch/mastwinch/internal/relay"
 	"github.com/mastwinch/mastwinch/internal/request"
@@ -40,8 +40,8 @@
 	fence uint64
 	// attempts is the number of attempts so far.
 	attempts int
-	// sending is the current attempt in the fleet's accounting of requests in flight.
-	sending fleet.ActiveRequest
+	// dispatched is the current attempt in the fleet's accounting of requests in flight.
+	dispatched fleet.ActiveRequest
 	// triedServers lists the servers that failed, which are excluded from routing. It is
 	// cleared when no other server is left.
 	triedServers []string
@@ -137,10 +137,10 @@
 // route returns the decision of the routing policy, and logs it.
 func (forwarder *forwarder) route() routing.Decision {
 	entry := forwarder.entry
-	kind := infra.KindEngine
+	kind := platformclient.KindEngine
 	policy := entry.policy
 	if forwarder.request.Service {
-		kind = infra.KindService
+		kind = platformclient.KindService
 		policy = routing.LeastOutstanding{}
 	}
 	started := time.Now()
@@ -258,7 +258,7 @@
 	entry.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	switch result.kind {
 	case resultCompleted:
-		entry.fleet.MarkSucceeded(result.server)
+		entry.fleet.RecordSuccess(result.server)
 		entry.quarantine.RecordCompletion(forwarder.fingerprint, result.server)
 		return request.Completed(result.server), true
 	case resultInterrupted:
@@ -269,7 +269,7 @@
 	if result.connectionLost {
 		entry.quarantine.RecordLoss(quarantine.Loss{Fingerprint: forwarder.fingerprint, Server: result.server, HadEvent: result.receivedToken})
 	}
-	ejected := entry.fleet.MarkFailed(result.server)
+	ejected := entry.fleet.RecordFailure(result.server)
 	entry.logger.Warn("attempt failed", "request_id", forwarder.request.ID, "attempt", forwarder.attempts-1,
 		"server", result.server, "result", result.kind, "lost", result.connectionLost,
 		"fingerprint", forwarder.fingerprint, "ejected", ejected, "error", result.err)
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/ledger"
 	"github.com/mastwinch/mastwinch/internal/request"
 	"github.com/mastwinch/mastwinch/internal/state"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 }
 
 func (forwarder *forwarder) beginRecord() *wire.Record {
-	var expected fold.Version
+	var expected statemachine.Version
 	forwarder.entry.replica.View(func(state *state.State) {
 		if attempt, ok := state.Ledger.Get(forwarder.request.Key); ok {
 			expected = attempt.Version
@@ -67,11 +67,11 @@
 	}
 }
 
-func keyRefusalReason(reason fold.Reason) request.Reason {
+func keyRefusalReason(reason statemachine.Reason) request.Reason {
 	switch reason {
-	case fold.ReasonKeyExpired:
+	case statemachine.ReasonKeyExpired:
 		return request.ReasonKeyExpired
-	case fold.ReasonContentDiffers:
+	case statemachine.ReasonContentDiffers:
 		return request.ReasonKeyContentDiffers
 	default:
 		return request.ReasonKeyConflict
--- a/internal/entry/promises_test.go
+++ b/internal/entry/promises_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/keeperclient"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -153,8 +153,8 @@
 func TestPromisesDetectInjectedFaults(t *testing.T) {
 	mutants := map[string]mutant{
 		"dispatch before the record is read back":     dispatchBeforeReadBack{},
-		"dispatch with the key of another request":    dispatchRefused{reason: fold.ReasonConflict},
-		"dispatch with an expired key":                dispatchRefused{reason: fold.ReasonKeyExpired},
+		"dispatch with the key of another request":    dispatchRefused{reason: statemachine.ReasonConflict},
+		"dispatch with an expired key":                dispatchRefused{reason: statemachine.ReasonKeyExpired},
 		"dispatch after a timeout of the log":         dispatchUnsettled{},
 		"lost response reported as not run":           notRunAfterLostResponse{},
 		"request of a lost owner settled as not run":  settledAsNotRun{},
@@ -214,10 +214,10 @@
 // changedProposer is a node that proposes begin records by another function.
 type changedProposer struct {
 	*node
-	propose func(ctx context.Context, record *wire.Record) (fold.Verdict, error)
+	propose func(ctx context.Context, record *wire.Record) (statemachine.Verdict, error)
 }
 
-func (changedproposer changedProposer) Propose(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+func (changedproposer changedProposer) Propose(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 	if record.GetBegin() == nil {
 		return changedproposer.node.Propose(ctx, record)
 	}
@@ -227,19 +227,19 @@
 type dispatchBeforeReadBack struct{ noMutant }
 
 func (dispatchBeforeReadBack) proposer(node *node) Proposer {
-	return changedProposer{node, func(_ context.Context, record *wire.Record) (fold.Verdict, error) {
+	return changedProposer{node, func(_ context.Context, record *wire.Record) (statemachine.Verdict, error) {
 		node.cluster.append(record)
-		return fold.Accept(1), nil
+		return statemachine.Accept(1), nil
 	}}
 }
 
 type dispatchRefused struct {
 	noMutant
-	reason fold.Reason
+	reason statemachine.Reason
 }
 
 func (mutant dispatchRefused) proposer(node *node) Proposer {
-	return changedProposer{node, func(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+	return changedProposer{node, func(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 		verdict, err := node.Propose(ctx, record)
 		verdict.Accepted = verdict.Accepted || verdict.Reason == mutant.reason
 		return verdict, err
@@ -249,12 +249,12 @@
 type dispatchUnsettled struct{ noMutant }
 
 func (dispatchUnsettled) proposer(node *node) Proposer {
-	return changedProposer{node, func(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+	return changedProposer{node, func(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 		shortCtx, cancel := context.WithTimeout(ctx, reproposeInterval)
 		defer cancel()
 		verdict, err := node.Propose(shortCtx, record)
 		if errors.Is(err, keeperclient.ErrUnsettled) {
-			return fold.Accept(1), nil
+			return statemachine.Accept(1), nil
 		}
 		return verdict, err
 	}}
@@ -263,7 +263,7 @@
 type waitsTooLong struct{ noMutant }
 
 func (waitsTooLong) proposer(node *node) Proposer {
-	return changedProposer{node, func(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+	return changedProposer{node, func(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 		longCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Minute)
 		defer cancel()
 		return node.Propose(longCtx, record)
--- a/internal/entry/reservations.go
+++ b/internal/entry/reservations.go
@@ -67,7 +67,7 @@
 			return nil
 		}
 		var refused *backend.NotRunError
-		if !errors.As(err, &refused) || refused.Leaving || refused.Unreachable {
+		if !errors.As(err, &refused) || refused.Draining || refused.Unreachable {
 			return err
 		}
 		wait.For(ctx, entry.settings.Group.PollInterval)
--- a/internal/entry/streamcluster_test.go
+++ b/internal/entry/streamcluster_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/mastwinch/mastwinch/internal/backend"
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/request"
 	"github.com/mastwinch/mastwinch/internal/standin/engine"
@@ -114,7 +114,7 @@
 	fleetList := &wire.Fleet{}
 	for i := range engineCount {
 		fleetList.Servers = append(fleetList.Servers, &wire.Server{
-			Id: engineID(i), Address: engineID(i), Kind: infra.KindEngine,
+			Id: engineID(i), Address: engineID(i), Kind: platformclient.KindEngine,
 			Models: []string{testModel}, MemoryTokens: engineMemoryTokens,
 		})
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -219,7 +219,7 @@
 // maxAge returns the largest age at which a page of a peer is used: a change that the
 // page lacks then still arrives in time with the next read.
 func (log *Log) maxAge() time.Duration {
-	return log.maxDelay() - log.settings.Margin - log.settings.Wait - log.settings.ResponseTimeout
+	return log.maxDelay() - log.settings.DelayMargin - log.settings.Wait - log.settings.ResponseTimeout
 }
 
 // readFromPeer reads a page from a peer. extraQuery is appended to the query string.
--- a/internal/feed/settings.go
+++ b/internal/feed/settings.go
@@ -7,9 +7,9 @@
 	// MinMembers is the number of live VMs that a data centre must have before VMs read from each other.
 	// With fewer, direct reads make no more calls to the store.
 	MinMembers int `yaml:"min_members" validate:"min=2"`
-	// Margin is subtracted from the time within which a change must arrive. A page of a peer
+	// DelayMargin is subtracted from the time within which a change must arrive. A page of a peer
 	// is used only if its age and the duration of the next read fit into the remainder.
-	Margin time.Duration `yaml:"margin" validate:"min=0"`
+	DelayMargin time.Duration `yaml:"margin" validate:"min=0"`
 	// StoreWaitFraction is the wait of a reader at the store, as a fraction of the largest age at which its peers use a
 	// page: a page may become that old while the reader waits, and the remainder is for the reads of the peers.
 	StoreWaitFraction float64 `yaml:"reader_part" validate:"min=0,max=0.9"`
@@ -41,7 +41,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		MinMembers:          6,
-		Margin:              400 * time.Millisecond,
+		DelayMargin:         400 * time.Millisecond,
 		StoreWaitFraction:   0.43,
 		AvoidTime:           3 * time.Second,
 		AvoidTimeNoContent:  time.Second,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/mastwinch/mastwinch/internal/ejection"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/rendezvous"
 	"github.com/mastwinch/mastwinch/internal/routing"
 	"github.com/mastwinch/mastwinch/internal/wire"
@@ -125,7 +125,7 @@
 // KeeperAddresses returns the addresses of the keepers in the VM list.
 func (fleet *Fleet) KeeperAddresses() []string {
 	var addresses []string
-	for _, vm := range fleet.list(infra.KindSystem) {
+	for _, vm := range fleet.list(platformclient.KindSystem) {
 		if vm.GetKeeperAddress() != "" {
 			addresses = append(addresses, vm.GetKeeperAddress())
 		}
@@ -135,7 +135,7 @@
 
 // SystemVM returns the VM of the system with that ID if it is in the VM list.
 func (fleet *Fleet) SystemVM(id string) (*wire.Server, bool) {
-	for _, vm := range fleet.list(infra.KindSystem) {
+	for _, vm := range fleet.list(platformclient.KindSystem) {
 		if vm.GetId() == id {
 			return vm, true
 		}
@@ -145,7 +145,7 @@
 
 // Engines returns the engines in the VM list, sorted by ID.
 func (fleet *Fleet) Engines() []*wire.Server {
-	return fleet.list(infra.KindEngine)
+	return fleet.list(platformclient.KindEngine)
 }
 
 // list returns the VMs of that kind, sorted by ID.
@@ -168,14 +168,14 @@
 	servers := make([]routing.Server, 0, len(fleet.byKind[kind]))
 	for _, server := range fleet.byKind[kind] {
 		snapshot := server.snapshot(now, fleet.settings.ReportLag)
-		snapshot.Leaving = snapshot.Leaving || evacuated(snapshot.DataCentre)
+		snapshot.Draining = snapshot.Draining || evacuated(snapshot.DataCentre)
 		servers = append(servers, snapshot)
 	}
 	return routing.NewSnapshot(servers)
 }
 
-// MarkSucceeded records a successful response of the server, which ends its ejection.
-func (fleet *Fleet) MarkSucceeded(id string) {
+// RecordSuccess records a successful response of the server, which ends its ejection.
+func (fleet *Fleet) RecordSuccess(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if server := fleet.servers[id]; server != nil {
@@ -183,9 +183,9 @@
 	}
 }
 
-// MarkFailed records a failure of the server, and reports whether the server is
+// RecordFailure records a failure of the server, and reports whether the server is
 // ejected as a result.
-func (fleet *Fleet) MarkFailed(id string) bool {
+func (fleet *Fleet) RecordFailure(id string) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	server := fleet.servers[id]
@@ -195,9 +195,9 @@
 	return server.ejection.RecordFailure(fleet.now(), fleet.settings.ejection())
 }
 
-// Leaving records that the server itself reported that it is draining, that is, accepts
+// MarkDraining records that the server itself reported that it is draining, that is, accepts
 // no new requests.
-func (fleet *Fleet) Leaving(id string) {
+func (fleet *Fleet) MarkDraining(id string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	if server := fleet.servers[id]; server != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/mastwinch/mastwinch/internal/fleet"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/routing"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -26,7 +26,7 @@
 }
 
 func listed(draining bool) *wire.Fleet {
-	return &wire.Fleet{Servers: []*wire.Server{{Id: id, Kind: infra.KindEngine, MemoryTokens: 1000, Leaving: draining}}}
+	return &wire.Fleet{Servers: []*wire.Server{{Id: id, Kind: platformclient.KindEngine, MemoryTokens: 1000, Leaving: draining}}}
 }
 
 func loads(load *wire.Load) *wire.Loads {
@@ -36,7 +36,7 @@
 
 // snapshot returns the state of the only server.
 func snapshot(tested *fleet.Fleet) routing.Server {
-	return tested.Snapshot(infra.KindEngine, func(string) bool { return false }).Servers[0]
+	return tested.Snapshot(platformclient.KindEngine, func(string) bool { return false }).Servers[0]
 }
 
 func decision(long bool) routing.Decision {
@@ -114,14 +114,14 @@
 	cases := map[string]func(tested *fleet.Fleet){
 		"by the VM list":     func(tested *fleet.Fleet) { tested.SetFleet(listed(true)) },
 		"by its load report": func(tested *fleet.Fleet) { tested.SetLoads(loads(&wire.Load{Leaving: true})) },
-		"by its response":    func(tested *fleet.Fleet) { tested.Leaving(id) },
+		"by its response":    func(tested *fleet.Fleet) { tested.MarkDraining(id) },
 	}
 	for name, action := range cases {
 		t.Run(name, func(t *testing.T) {
 			tested := newFleet(&clock{now: time.Unix(1000, 0)})
-			assert.Assert(t, !snapshot(tested).Leaving)
+			assert.Assert(t, !snapshot(tested).Draining)
 			action(tested)
-			assert.Assert(t, snapshot(tested).Leaving)
+			assert.Assert(t, snapshot(tested).Draining)
 		})
 	}
 }
@@ -131,10 +131,10 @@
 func TestEjection(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	tested := newFleet(clock)
-	assert.Assert(t, !tested.MarkFailed(id))
-	assert.Assert(t, !tested.MarkFailed(id))
+	assert.Assert(t, !tested.RecordFailure(id))
+	assert.Assert(t, !tested.RecordFailure(id))
 	assert.Assert(t, !snapshot(tested).Ejected)
-	assert.Assert(t, tested.MarkFailed(id))
+	assert.Assert(t, tested.RecordFailure(id))
 	assert.Assert(t, snapshot(tested).Ejected)
 
 	// After the ejection time one probe request is allowed, and no other until it ends.
@@ -144,7 +144,7 @@
 	assert.Assert(t, snapshot(tested).Ejected)
 
 	// The probe fails, which doubles the ejection time.
-	tested.MarkFailed(id)
+	tested.RecordFailure(id)
 	probe.Finish()
 	clock.now = clock.now.Add(time.Second)
 	assert.Assert(t, snapshot(tested).Ejected)
@@ -153,9 +153,9 @@
 
 	// The probe succeeds, which ends the ejection.
 	tested.RecordDispatch(decision(false), routing.Request{})
-	tested.MarkSucceeded(id)
+	tested.RecordSuccess(id)
 	assert.Assert(t, !snapshot(tested).Ejected)
-	assert.Assert(t, !tested.MarkFailed(id))
+	assert.Assert(t, !tested.RecordFailure(id))
 }
 
 // The prefill rate is measured from short prompts only, with the tokens queued before
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -73,7 +73,7 @@
 		LongRank:    server.longRank,
 		PrefillRate: server.prefillRate,
 		Outstanding: server.outstanding,
-		Leaving:     listed.GetLeaving() || now.Before(server.drainingUntil),
+		Draining:    listed.GetLeaving() || now.Before(server.drainingUntil),
 		Ejected:     server.ejection.Ejected(now),
 	}
 	if load := server.load; load != nil {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -119,7 +119,7 @@
 		waiting = 0 // a response without changes confirms the values; waiting for a change would delay it
 	}
 	if current.unsettled {
-		current, waiting = follower.settle(current, waiting)
+		current, waiting = follower.planUnsettledRead(current, waiting)
 	}
 	startedAt := follower.now()
 	next, unsettled, err := follower.read(ctx, current.position, waiting)
@@ -150,17 +150,17 @@
 	return current
 }
 
-// minSettleWait is the smallest limit on the wait of a read while the source is unsettled.
-const minSettleWait = 100 * time.Millisecond
+// minUnsettledWait is the smallest limit on the wait of a read while the source is unsettled.
+const minUnsettledWait = 100 * time.Millisecond
 
-// settle returns the position and the wait of the next read after an unsettled page: until the source has settled the
+// planUnsettledRead returns the position and the wait of the next read after an unsettled page: until the source has settled the
 // read waits for changes, and then it requests all values.
-func (follower *Follower[T]) settle(current progress, waiting time.Duration) (progress, time.Duration) {
+func (follower *Follower[T]) planUnsettledRead(current progress, waiting time.Duration) (progress, time.Duration) {
 	if remaining := follower.settledAt().Sub(follower.now()); remaining > 0 {
-		return current, min(waiting, max(remaining, minSettleWait))
+		return current, min(waiting, max(remaining, minUnsettledWait))
 	}
 	current.position = Position{}
-	return current, min(waiting, minSettleWait)
+	return current, min(waiting, minUnsettledWait)
 }
 
 // read reads all values or changes, for which it waits up to waiting. It returns the position of the next read, and
@@ -191,7 +191,7 @@
 // settledAt returns the end of the time in which the records that the source lost in the last rollback may be written
 // again.
 func (follower *Follower[T]) settledAt() time.Time {
-	return follower.epochs.IncreasedAt().Add(follower.settings.Settle)
+	return follower.epochs.IncreasedAt().Add(follower.settings.SettleTime)
 }
 
 // applyPage merges a page into the values, passes the resulting changes to the listener, and replaces the records of
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -10,16 +10,16 @@
 	MinInterval time.Duration `yaml:"pause" validate:"min=0,max=30s"`
 	// ResponseTimeout is how long a response, or a part of one, may take in addition to Wait.
 	ResponseTimeout time.Duration `yaml:"patience" validate:"min=10ms,max=30s"`
-	// Settle is how long after a rollback of the source the records lost in it may still be written again. The source is
+	// SettleTime is how long after a rollback of the source the records lost in it may still be written again. The source is
 	// unsettled during that time: a missing value may reappear.
-	Settle time.Duration `yaml:"settle" validate:"min=0,max=1m"`
+	SettleTime time.Duration `yaml:"settle" validate:"min=0,max=1m"`
 	// RetryMin and RetryMax bound the backoff after a failure, which doubles with each further one.
 	RetryMin time.Duration `yaml:"retry_min" validate:"min=1ms"`
 	RetryMax time.Duration `yaml:"retry_max" validate:"min=1ms"`
 }
 
-// WithMinSettle returns the settings with Settle raised to minimum if it is shorter.
-func (settings Settings) WithMinSettle(minimum time.Duration) Settings {
-	settings.Settle = max(settings.Settle, minimum)
+// WithMinSettleTime returns the settings with Settle raised to minimum if it is shorter.
+func (settings Settings) WithMinSettleTime(minimum time.Duration) Settings {
+	settings.SettleTime = max(settings.SettleTime, minimum)
 	return settings
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -188,7 +188,7 @@
 	gateway.directory = follower.New(
 		sources.Servers.WithLog(
 			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.ResponseTimeout)),
-		gateway.pool, settings.Directory.WithMinSettle(entryExpiry(site)), sources.Epochs, logger, now)
+		gateway.pool, settings.Directory.WithMinSettleTime(entryExpiry(site)), sources.Epochs, logger, now)
 	gateway.tails = map[string]*follower.Tail{
 		sources.Configuration.Name: gateway.configuration.Tail(),
 		sources.Servers.Name:       gateway.directory.Tail(),
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -139,12 +139,12 @@
 		Configuration: follower.Settings{
 			Wait: 1500 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // the platform's writers rewrite their entries within this time
+			SettleTime: 2 * time.Second, // the platform's writers rewrite their entries within this time
 		},
 		Directory: follower.Settings{
 			MinInterval: 800 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
+			SettleTime: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
 		},
 		Reservation: reservation.DefaultSettings(),
 		Quarantine:  quarantine.DefaultSettings(),
--- a/internal/infra/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package infra has clients of the platform's services: the append-only log and
-// the VM list. Each is a small interface with one implementation over HTTP.
-package infra
--- a/internal/keeper/appender.go
+++ b/internal/keeper/appender.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/replica"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wait"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -33,7 +33,7 @@
 // the replica has not read back from the log are appended again. Duplicates in
 // the log are harmless, since applying the log accepts a record at most once.
 type appender struct {
-	log      infra.Log
+	log      platformclient.Log
 	replica  *replica.Replica
 	settings LogSettings
 	metrics  *metrics
@@ -54,13 +54,13 @@
 	// deadline is when the appender stops retrying.
 	deadline time.Time
 	// verdict receives the verdict when the record has been read back.
-	verdict <-chan fold.Verdict
+	verdict <-chan statemachine.Verdict
 	// stop ends the wait for the verdict.
 	stop func()
 }
 
 func newAppender(
-	log infra.Log, replica *replica.Replica, settings LogSettings, metrics *metrics, logger *slog.Logger,
+	log platformclient.Log, replica *replica.Replica, settings LogSettings, metrics *metrics, logger *slog.Logger,
 ) *appender {
 	return &appender{
 		log:      log,
@@ -122,7 +122,7 @@
 	defer appender.mu.Unlock()
 	size := 0
 	count := 0
-	for count < len(appender.queue) && count < fold.MaxBatch {
+	for count < len(appender.queue) && count < statemachine.MaxBatch {
 		size += proto.Size(appender.queue[count].record)
 		if count > 0 && size > maxBatchBytes {
 			break
--- a/internal/keeper/checkpoint.go
+++ b/internal/keeper/checkpoint.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -55,7 +55,7 @@
 
 // add processes the next entry and reports whether it completed a checkpoint.
 // Entries that are not checkpoint parts and duplicate parts are ignored.
-func (reader *checkpointReader) add(entry infra.Entry) bool {
+func (reader *checkpointReader) add(entry platformclient.Entry) bool {
 	part := &wire.CheckpointPart{}
 	err := proto.Unmarshal(entry.Data, part)
 	if err != nil || part.GetWriter() == "" {
--- a/internal/keeper/fakelog_test.go
+++ b/internal/keeper/fakelog_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 )
 
 var errUnavailable = errors.New("the log is unavailable")
 
-// fakeLog is an in-memory implementation of infra.Log.
+// fakeLog is an in-memory implementation of platformclient.Log.
 type fakeLog struct {
 	mu          sync.Mutex
 	first       uint64
@@ -22,12 +22,12 @@
 	// error.
 	lostResponses int
 	appends       int
-	// grown is closed, and replaced, when entries change.
-	grown chan struct{}
+	// changed is closed, and replaced, when entries change.
+	changed chan struct{}
 }
 
 func newFakeLog() *fakeLog {
-	return &fakeLog{grown: make(chan struct{})}
+	return &fakeLog{changed: make(chan struct{})}
 }
 
 func (fakelog *fakeLog) Append(_ context.Context, data []byte) error {
@@ -38,8 +38,8 @@
 		return errUnavailable
 	}
 	fakelog.entries = append(fakelog.entries, data)
-	close(fakelog.grown)
-	fakelog.grown = make(chan struct{})
+	close(fakelog.changed)
+	fakelog.changed = make(chan struct{})
 	if fakelog.lostResponses > 0 {
 		fakelog.lostResponses--
 		return errors.New("response lost")
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (fakelog *fakeLog) Read(ctx context.Context, from uint64) (infra.Page, error) {
+func (fakelog *fakeLog) Read(ctx context.Context, from uint64) (platformclient.Page, error) {
 	page, changed, err := fakelog.page(from)
 	if err != nil || len(page.Entries) > 0 {
 		return page, err
@@ -62,20 +62,20 @@
 	return page, nil
 }
 
-func (fakelog *fakeLog) page(from uint64) (infra.Page, <-chan struct{}, error) {
+func (fakelog *fakeLog) page(from uint64) (platformclient.Page, <-chan struct{}, error) {
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
 	switch {
 	case fakelog.unavailable:
-		return infra.Page{}, nil, errUnavailable
+		return platformclient.Page{}, nil, errUnavailable
 	case from < fakelog.first:
-		return infra.Page{}, nil, &infra.ExpiredError{Requested: from, First: fakelog.first}
+		return platformclient.Page{}, nil, &platformclient.ExpiredError{Requested: from, First: fakelog.first}
 	}
-	page := infra.Page{First: fakelog.first, Next: fakelog.first + uint64(len(fakelog.entries))}
+	page := platformclient.Page{First: fakelog.first, Next: fakelog.first + uint64(len(fakelog.entries))}
 	for offset := from; offset < page.Next; offset++ {
-		page.Entries = append(page.Entries, infra.Entry{Offset: offset, Data: fakelog.entries[offset-fakelog.first]})
+		page.Entries = append(page.Entries, platformclient.Entry{Offset: offset, Data: fakelog.entries[offset-fakelog.first]})
 	}
-	return page, fakelog.grown, nil
+	return page, fakelog.changed, nil
 }
 
 // expire drops the entries before offset first.
@@ -104,6 +104,6 @@
 	fakelog.mu.Lock()
 	defer fakelog.mu.Unlock()
 	fakelog.entries = fakelog.entries[:count]
-	close(fakelog.grown)
-	fakelog.grown = make(chan struct{})
+	close(fakelog.changed)
+	fakelog.changed = make(chan struct{})
 }
--- a/internal/keeper/follower.go
+++ b/internal/keeper/follower.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/link"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/state"
 	"github.com/mastwinch/mastwinch/internal/wait"
 	"github.com/mastwinch/mastwinch/internal/wire"
@@ -27,8 +27,8 @@
 // it restores the state from the newest checkpoint; if the log is unavailable or no
 // checkpoint is recent enough, it restores the state from a peer.
 type follower struct {
-	log         infra.Log
-	checkpoints infra.Log
+	log         platformclient.Log
+	checkpoints platformclient.Log
 	hub         *hub
 	// peers returns the addresses of the other keepers.
 	peers       func() []string
@@ -193,9 +193,9 @@
 	}
 }
 
-// asExpired reports whether err is an infra.ExpiredError, and returns it as one.
-func asExpired(err error) (*infra.ExpiredError, bool) {
-	var expired *infra.ExpiredError
+// asExpired reports whether err is an platformclient.ExpiredError, and returns it as one.
+func asExpired(err error) (*platformclient.ExpiredError, bool) {
+	var expired *platformclient.ExpiredError
 	ok := errors.As(err, &expired)
 	return expired, ok
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/link"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -33,9 +33,9 @@
 // Platform has the external services that a keeper uses: those of the platform,
 // and the model engines.
 type Platform struct {
-	Log         infra.Log
-	Checkpoints infra.Log
-	VMList      infra.VMList
+	Log         platformclient.Log
+	Checkpoints platformclient.Log
+	VMList      platformclient.VMList
 	Engines     backend.Engine
 }
 
@@ -133,7 +133,7 @@
 // vms returns the names of the system's VMs that do not drain, including this one.
 func (keeper *Keeper) vms() []string {
 	names := []string{keeper.settings.VM}
-	for _, server := range keeper.watcher.servers(infra.KindSystem) {
+	for _, server := range keeper.watcher.servers(platformclient.KindSystem) {
 		if server.GetId() != keeper.settings.VM && !server.GetLeaving() {
 			names = append(names, server.GetId())
 		}
@@ -145,7 +145,7 @@
 // configured ones.
 func (keeper *Keeper) peers() []string {
 	var addresses []string
-	for _, server := range keeper.watcher.servers(infra.KindSystem) {
+	for _, server := range keeper.watcher.servers(platformclient.KindSystem) {
 		if server.GetId() != keeper.settings.VM && server.GetKeeperAddress() != "" {
 			addresses = append(addresses, server.GetKeeperAddress())
 		}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/poll"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/link"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/state"
 	"github.com/mastwinch/mastwinch/internal/wire"
@@ -264,9 +264,9 @@
 	assert.Assert(t, len(entries) > 1)
 	reader := newCheckpointReader()
 	for i, entry := range entries {
-		complete := reader.add(infra.Entry{Data: entry})
+		complete := reader.add(platformclient.Entry{Data: entry})
 		assert.Equal(t, complete, i == len(entries)-1)
-		assert.Assert(t, !reader.add(infra.Entry{Data: entries[0]}))
+		assert.Assert(t, !reader.add(platformclient.Entry{Data: entries[0]}))
 	}
 	assert.Assert(t, proto.Equal(reader.newest, large))
 }
@@ -274,7 +274,7 @@
 // noVMs is a VM list that is unavailable.
 type noVMs struct{}
 
-func (noVMs) List(context.Context) ([]infra.VM, error) { return nil, errUnavailable }
+func (noVMs) List(context.Context) ([]platformclient.VM, error) { return nil, errUnavailable }
 
 // freePort returns an address with a TCP port that is not in use.
 func freePort(t *testing.T) string {
--- a/internal/keeper/maintenance.go
+++ b/internal/keeper/maintenance.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/uuid"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
 	"github.com/mastwinch/mastwinch/internal/ledger"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/rendezvous"
 	"github.com/mastwinch/mastwinch/internal/replica"
 	"github.com/mastwinch/mastwinch/internal/state"
@@ -39,7 +39,7 @@
 	settings    Settings
 	replica     *replica.Replica
 	appender    *appender
-	checkpoints infra.Log
+	checkpoints platformclient.Log
 	// vms returns the names of the live VMs of the system.
 	vms     func() []string
 	metrics *metrics
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/wait"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -26,7 +26,7 @@
 // watcher polls the VM list and the load of engines and publishes both through the
 // hub. While either cannot be read, subscribers keep the last values.
 type watcher struct {
-	vmlist   infra.VMList
+	vmlist   platformclient.VMList
 	engines  backend.Engine
 	hub      *hub
 	settings IntervalSettings
@@ -80,7 +80,7 @@
 }
 
 // newFleet returns the wire form of the VM list, by ID.
-func newFleet(vms []infra.VM) *wire.Fleet {
+func newFleet(vms []platformclient.VM) *wire.Fleet {
 	fleet := &wire.Fleet{Servers: make([]*wire.Server, 0, len(vms))}
 	for _, vm := range vms {
 		fleet.Servers = append(fleet.Servers, &wire.Server{
@@ -89,7 +89,7 @@
 			DataCentre:    vm.DataCentre,
 			Kind:          vm.Kind,
 			Models:        vm.Models,
-			Leaving:       vm.Leaving,
+			Leaving:       vm.Draining,
 			ChecksFencing: vm.ChecksFencing,
 			MemoryTokens:  vm.MemoryTokens,
 			KeeperAddress: vm.KeeperAddress,
@@ -114,7 +114,7 @@
 	var all sync.WaitGroup
 	loads := &wire.Loads{}
 	slots := make(chan struct{}, loadParallel)
-	for _, server := range watcher.servers(infra.KindEngine) {
+	for _, server := range watcher.servers(platformclient.KindEngine) {
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -141,7 +141,7 @@
 		QueuedLongTokens:    nonNegative(load.QueuedLongTokens),
 		Running:             nonNegative(load.Running),
 		Waiting:             nonNegative(load.Waiting),
-		Leaving:             load.Leaving,
+		Leaving:             load.Draining,
 	}
 }
 
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -14,9 +14,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/link"
 	"github.com/mastwinch/mastwinch/internal/replica"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wait"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
@@ -113,7 +113,7 @@
 // Propose proposes a record to the keeper until it is read back from the log, and
 // returns the verdict, which says whether the record was accepted. It returns
 // ErrUnsettled when ctx is done first.
-func (client *Client) Propose(ctx context.Context, record *wire.Record) (fold.Verdict, error) {
+func (client *Client) Propose(ctx context.Context, record *wire.Record) (statemachine.Verdict, error) {
 	verdicts, stop := client.replica.Await(record.GetId())
 	defer stop()
 	for {
@@ -125,7 +125,7 @@
 			return verdict, nil
 		case <-ctx.Done():
 			timer.Stop()
-			return fold.Verdict{}, ErrUnsettled
+			return statemachine.Verdict{}, ErrUnsettled
 		case <-connected:
 		case <-timer.C:
 		}
--- a/internal/ledger/attempt.go
+++ b/internal/ledger/attempt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 	Owner string
 	// Version changes with each accepted record about the attempt. While
 	// Outcome is unspecified it is the fencing token of the dispatch.
-	Version fold.Version
+	Version statemachine.Version
 	// Time is the time limit that the caller set for the request.
 	Time time.Duration
 	// ContentDigest is a hash of the request. A key is refused for other content.
@@ -43,7 +43,7 @@
 
 // WithOutcome returns a copy of the attempt with the outcome of finish, which was
 // accepted as version.
-func (attempt Attempt) WithOutcome(finish *wire.Finish, version fold.Version) Attempt {
+func (attempt Attempt) WithOutcome(finish *wire.Finish, version statemachine.Version) Attempt {
 	attempt.Outcome = finish.GetOutcome()
 	attempt.Reason = finish.GetReason()
 	attempt.Server = finish.GetServer()
@@ -71,7 +71,7 @@
 		Key:           key,
 		RequestID:     record.GetRequestId(),
 		Owner:         record.GetOwner(),
-		Version:       fold.Version(record.GetVersion()),
+		Version:       statemachine.Version(record.GetVersion()),
 		Time:          time.Duration(record.GetTimeMs()) * time.Millisecond, //nolint:gosec // bounded by the API
 		ContentDigest: record.GetContentDigest(),
 		Outcome:       record.GetOutcome(),
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -66,24 +66,24 @@
 
 // Begin grants the key to the request of begin, or refuses it if the key is
 // malformed, expired or already granted.
-func (ledger *Ledger) Begin(version fold.Version, begin *wire.Begin) fold.Verdict {
+func (ledger *Ledger) Begin(version statemachine.Version, begin *wire.Begin) statemachine.Verdict {
 	key, err := NewKey(begin.GetKey().GetOrganisation(), begin.GetKey().GetValue())
 	if err != nil {
-		return fold.Refuse(fold.ReasonMalformed)
+		return statemachine.Refuse(statemachine.ReasonMalformed)
 	}
 	if key.Time < ledger.horizon {
-		return fold.Refuse(fold.ReasonKeyExpired)
+		return statemachine.Refuse(statemachine.ReasonKeyExpired)
 	}
 	current, exists := ledger.attempts[key]
 	switch {
 	case exists && current.RequestID == begin.GetRequestId() && current.Running():
-		return fold.Accept(current.Version) // a duplicate of the granted record
+		return statemachine.Accept(current.Version) // a duplicate of the granted record
 	case exists && current.ContentDigest != begin.GetContentDigest():
-		return fold.Refuse(fold.ReasonContentDiffers)
+		return statemachine.Refuse(statemachine.ReasonContentDiffers)
 	case exists && !current.Retryable():
-		return fold.Refuse(fold.ReasonConflict)
+		return statemachine.Refuse(statemachine.ReasonConflict)
 	case uint64(current.Version) != begin.GetExpectedVersion():
-		return fold.Refuse(fold.ReasonConflict)
+		return statemachine.Refuse(statemachine.ReasonConflict)
 	}
 	delete(ledger.byRequest, current.RequestID)
 	ledger.put(newAttempt(key, &wire.Attempt{
@@ -93,25 +93,25 @@
 		TimeMs:        begin.GetTimeMs(),
 		ContentDigest: begin.GetContentDigest(),
 	}))
-	return fold.Accept(version)
+	return statemachine.Accept(version)
 }
 
 // Finish records the outcome of an attempt. An outcome is final, except that
 // "failed, may have run" may be replaced once by "completed".
-func (ledger *Ledger) Finish(version fold.Version, finish *wire.Finish) fold.Verdict {
+func (ledger *Ledger) Finish(version statemachine.Version, finish *wire.Finish) statemachine.Verdict {
 	key, err := NewKey(finish.GetKey().GetOrganisation(), finish.GetKey().GetValue())
 	if err != nil || finish.GetOutcome() == wire.Outcome_OUTCOME_UNSPECIFIED {
-		return fold.Refuse(fold.ReasonMalformed)
+		return statemachine.Refuse(statemachine.ReasonMalformed)
 	}
 	current, exists := ledger.attempts[key]
 	if !exists || current.RequestID != finish.GetRequestId() {
-		return fold.Refuse(fold.ReasonNotFound)
+		return statemachine.Refuse(statemachine.ReasonNotFound)
 	}
 	if !current.Running() && !confirmsCompletion(current, finish) {
-		return fold.Refuse(fold.ReasonStale)
+		return statemachine.Refuse(statemachine.ReasonStale)
 	}
 	ledger.put(current.WithOutcome(finish, version))
-	return fold.Accept(version)
+	return statemachine.Accept(version)
 }
 
 // put sets the current attempt of its key.
@@ -128,9 +128,9 @@
 
 // AdvanceHorizon drops the keys created before the time of advance. It refuses to
 // move the horizon back.
-func (ledger *Ledger) AdvanceHorizon(version fold.Version, advance *wire.AdvanceHorizon) fold.Verdict {
+func (ledger *Ledger) AdvanceHorizon(version statemachine.Version, advance *wire.AdvanceHorizon) statemachine.Verdict {
 	if advance.GetKeyTimeMs() <= ledger.horizon {
-		return fold.Refuse(fold.ReasonStale)
+		return statemachine.Refuse(statemachine.ReasonStale)
 	}
 	ledger.horizon = advance.GetKeyTimeMs()
 	for key, attempt := range ledger.attempts {
@@ -139,7 +139,7 @@
 			delete(ledger.byRequest, attempt.RequestID)
 		}
 	}
-	return fold.Accept(version)
+	return statemachine.Accept(version)
 }
 
 // Encode writes the ledger into state, sorted by key, so that equal ledgers have
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/uuid"
 	"gotest.tools/v3/assert"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/ledger"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 	return &wire.Key{Organisation: organisation, Value: id.String()}
 }
 
-func begin(key *wire.Key, requestID string, expected fold.Version) *wire.Begin {
+func begin(key *wire.Key, requestID string, expected statemachine.Version) *wire.Begin {
 	return &wire.Begin{
 		Key:             key,
 		RequestId:       requestID,
@@ -45,60 +45,60 @@
 	// A case is a list of records; the one at index i has version i+1.
 	type step struct {
 		record any
-		want   fold.Verdict
+		want   statemachine.Verdict
 	}
 	cases := map[string][]step{
 		"only the first begin is granted": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{begin(key, "r2", 0), fold.Refuse(fold.ReasonConflict)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{begin(key, "r2", 0), statemachine.Refuse(statemachine.ReasonConflict)},
 		},
 		"a duplicate of the granted begin returns the same version": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{begin(key, "r1", 0), fold.Accept(1)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
 		},
 		"a late copy of a begin is refused after its request ended": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Accept(2)},
-			{begin(key, "r1", 0), fold.Refuse(fold.ReasonConflict)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), statemachine.Accept(2)},
+			{begin(key, "r1", 0), statemachine.Refuse(statemachine.ReasonConflict)},
 		},
 		"a key whose request did not run is granted again at the expected version": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Accept(2)},
-			{begin(key, "r2", 1), fold.Refuse(fold.ReasonConflict)},
-			{begin(key, "r2", 2), fold.Accept(4)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), statemachine.Accept(2)},
+			{begin(key, "r2", 1), statemachine.Refuse(statemachine.ReasonConflict)},
+			{begin(key, "r2", 2), statemachine.Accept(4)},
 		},
 		"a key that may have run is never granted again": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), fold.Accept(2)},
-			{begin(key, "r2", 2), fold.Refuse(fold.ReasonConflict)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), statemachine.Accept(2)},
+			{begin(key, "r2", 2), statemachine.Refuse(statemachine.ReasonConflict)},
 		},
 		"an outcome of may have run can only become completed, which is final": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), fold.Accept(2)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), fold.Refuse(fold.ReasonStale)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_COMPLETED), fold.Accept(4)},
-			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), fold.Refuse(fold.ReasonStale)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), statemachine.Accept(2)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_NOT_RUN), statemachine.Refuse(statemachine.ReasonStale)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_COMPLETED), statemachine.Accept(4)},
+			{finish(key, "r1", wire.Outcome_OUTCOME_FAILED_MAY_HAVE_RUN), statemachine.Refuse(statemachine.ReasonStale)},
 		},
 		"another request cannot finish the attempt": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{finish(key, "r2", wire.Outcome_OUTCOME_COMPLETED), fold.Refuse(fold.ReasonNotFound)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{finish(key, "r2", wire.Outcome_OUTCOME_COMPLETED), statemachine.Refuse(statemachine.ReasonNotFound)},
 		},
 		"a key older than the horizon is refused after it was dropped": {
-			{begin(key, "r1", 0), fold.Accept(1)},
-			{&wire.AdvanceHorizon{KeyTimeMs: 1001}, fold.Accept(2)},
-			{begin(key, "r1", 0), fold.Refuse(fold.ReasonKeyExpired)},
-			{&wire.AdvanceHorizon{KeyTimeMs: 1000}, fold.Refuse(fold.ReasonStale)},
+			{begin(key, "r1", 0), statemachine.Accept(1)},
+			{&wire.AdvanceHorizon{KeyTimeMs: 1001}, statemachine.Accept(2)},
+			{begin(key, "r1", 0), statemachine.Refuse(statemachine.ReasonKeyExpired)},
+			{&wire.AdvanceHorizon{KeyTimeMs: 1000}, statemachine.Refuse(statemachine.ReasonStale)},
 		},
 		"a malformed key is refused": {
-			{begin(&wire.Key{Value: uuid.NewString()}, "r1", 0), fold.Refuse(fold.ReasonMalformed)},
+			{begin(&wire.Key{Value: uuid.NewString()}, "r1", 0), statemachine.Refuse(statemachine.ReasonMalformed)},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			tested := ledger.New()
 			for i, step := range steps {
-				version := fold.Version(i + 1)
-				var got fold.Verdict
+				version := statemachine.Version(i + 1)
+				var got statemachine.Verdict
 				switch record := step.record.(type) {
 				case *wire.Begin:
 					got = tested.Begin(version, record)
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -23,8 +23,8 @@
 
 // Timeouts and limits of a caller.
 const (
-	// retryPause is the delay before the next attempt.
-	retryPause = 50 * time.Millisecond
+	// retryDelay is the delay before the next attempt.
+	retryDelay = 50 * time.Millisecond
 	// graceTime is the time after its deadline for which a caller waits for an
 	// outcome before it counts the request as lost.
 	graceTime = 2 * time.Second
@@ -96,7 +96,7 @@
 		err := caller.attempt(ctx)
 		if err != nil {
 			caller.entryIndex = (caller.entryIndex + 1) % len(entries)
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryDelay)
 		}
 	}
 	caller.result.Total = time.Since(caller.sentAt)
--- a/internal/infra/log.go
+++ b/internal/platformclient/log.go
@@ -1,4 +1,4 @@
-package infra
+package platformclient
 
 import (
 	"context"
--- a/internal/infra/vmlist.go
+++ b/internal/platformclient/vmlist.go
@@ -1,4 +1,4 @@
-package infra
+package platformclient
 
 import (
 	"context"
@@ -26,8 +26,8 @@
 	DataCentre string   `json:"data_centre"`
 	Kind       string   `json:"kind"`
 	Models     []string `json:"models,omitempty"`
-	// Leaving is set if the VM is draining before a planned shutdown.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set if the VM is draining before a planned shutdown.
+	Draining bool `json:"leaving,omitempty"`
 	// ChecksFencing is set if the VM rejects commands with an outdated fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 	// MemoryTokens is the capacity of an engine's KV cache, in tokens.
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -76,10 +76,10 @@
 // start of the server, even if a later list entry lacks it.
 func (pool *Pool) markDraining(id, reportedBy string) bool {
 	server := pool.servers[id]
-	if server == nil || server.entry.Drains {
+	if server == nil || server.entry.Draining {
 		return false
 	}
-	server.entry.Drains = true
+	server.entry.Draining = true
 	server.drainingReportedBy = reportedBy
 	pool.logger.Info("server is draining", "server", id, "told_by", reportedBy)
 	return true
@@ -91,7 +91,7 @@
 	defer pool.mu.Unlock()
 	draining := 0
 	for _, server := range pool.servers {
-		if server.entry.Drains {
+		if server.entry.Draining {
 			draining++
 		}
 	}
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -89,24 +89,24 @@
 	known := pool.servers[entry.ID]
 	if known == nil {
 		added := &server{entry: entry}
-		if entry.Drains {
+		if entry.Draining {
 			added.drainingReportedBy = listSource
 		}
 		pool.servers[entry.ID] = added
 		pool.setColdStart(added, entry.ColdRemaining)
 		pool.logger.Debug("server listed", "server", entry.ID, "service", entry.Service,
-			"address", entry.Address, "leaving", entry.Drains)
+			"address", entry.Address, "leaving", entry.Draining)
 		return
 	}
 	if fresh || entry.ColdRemaining != known.entry.ColdRemaining {
 		pool.setColdStart(known, entry.ColdRemaining)
 	}
-	if entry.Drains && !known.entry.Drains {
+	if entry.Draining && !known.entry.Draining {
 		known.drainingReportedBy = listSource
 		pool.logger.Info("server is draining", "server", entry.ID, "told_by", listSource)
 	}
 	// A draining server never accepts new requests again.
-	entry.Drains = entry.Drains || known.entry.Drains
+	entry.Draining = entry.Draining || known.entry.Draining
 	known.entry = entry
 	known.missingSince = time.Time{}
 	known.entryInvalid = false
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -148,7 +148,7 @@
 
 // isUsable is acceptsRequests without regard to evacuations.
 func (pool *Pool) isUsable(server *server, now time.Time) bool {
-	excluded := server.entry.Drains || server.closed || server.replaced || server.entryInvalid
+	excluded := server.entry.Draining || server.closed || server.replaced || server.entryInvalid
 	return !excluded && !pool.isGone(server, now)
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -65,7 +65,7 @@
 
 func drainingEntry() follower.Change[directory.Entry] {
 	change := listedEntry("s1")
-	change.Value.Drains = true
+	change.Value.Draining = true
 	return change
 }
 
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -47,7 +47,7 @@
 		"draining reported in a response": func(fixture *fixture) { fixture.MarkDraining(startID(1)) },
 		"draining by its entry": func(fixture *fixture) {
 			change := startOf(1)
-			change.Value.Drains = true
+			change.Value.Draining = true
 			fixture.Apply([]follower.Change[directory.Entry]{change})
 		},
 		"removed from the list": func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{removedEntry("s1")}) },
@@ -71,7 +71,7 @@
 // arrive after the server restarted, and replace or change the current start.
 func TestDelayedUpdatesOfEarlierStart(t *testing.T) {
 	drainingFirst := startOf(1)
-	drainingFirst.Value.Drains = true
+	drainingFirst.Value.Draining = true
 	for name, update := range map[string]func(fixture *fixture){
 		"entry":          func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{startOf(1)}) },
 		"draining entry": func(fixture *fixture) { fixture.Apply([]follower.Change[directory.Entry]{drainingFirst}) },
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -6,8 +6,8 @@
 import (
 	"sync"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/state"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 	mu    sync.RWMutex
 	state *state.State
 	// waiters has the channels that receive the verdict on a record, by record ID.
-	waiters map[string][]chan fold.Verdict
+	waiters map[string][]chan statemachine.Verdict
 	// changed is closed, and replaced, when the state changes.
 	changed chan struct{}
 }
@@ -25,7 +25,7 @@
 func New() *Replica {
 	return &Replica{
 		state:   state.New(),
-		waiters: make(map[string][]chan fold.Verdict),
+		waiters: make(map[string][]chan statemachine.Verdict),
 		changed: make(chan struct{}),
 	}
 }
@@ -99,8 +99,8 @@
 
 // Await returns a channel that receives the verdict on the record when the record is
 // next applied, and a function that ends the wait, which must be called.
-func (replica *Replica) Await(recordID string) (<-chan fold.Verdict, func()) {
-	waiter := make(chan fold.Verdict, 1)
+func (replica *Replica) Await(recordID string) (<-chan statemachine.Verdict, func()) {
+	waiter := make(chan statemachine.Verdict, 1)
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	replica.waiters[recordID] = append(replica.waiters[recordID], waiter)
@@ -108,10 +108,10 @@
 }
 
 // removeWaiter removes one waiter for the verdict on a record.
-func (replica *Replica) removeWaiter(recordID string, waiter chan fold.Verdict) {
+func (replica *Replica) removeWaiter(recordID string, waiter chan statemachine.Verdict) {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
-	var others []chan fold.Verdict
+	var others []chan statemachine.Verdict
 	for _, other := range replica.waiters[recordID] {
 		if other != waiter {
 			others = append(others, other)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -35,8 +35,8 @@
 	PrefillRate float64
 	// Outstanding is the number of this entry process's requests in flight to the server.
 	Outstanding int
-	// Leaving is set when the server is draining, and so must not receive new requests.
-	Leaving bool
+	// Draining is set when the server is draining, and so must not receive new requests.
+	Draining bool
 	// Ejected is set while the server is avoided because of consecutive failures.
 	Ejected bool
 }
@@ -80,7 +80,7 @@
 // mayUse reports whether the request may be sent to the server, regardless of
 // load, memory and ejection.
 func (request *Request) mayUse(server *Server) bool {
-	return !server.Leaving &&
+	return !server.Draining &&
 		slices.Contains(server.Models, request.Model) &&
 		!slices.Contains(request.Tried, server.ID)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -52,7 +52,7 @@
 		change  func(server *routing.Server)
 		request func(request *routing.Request)
 	}{
-		"draining":      {change: func(server *routing.Server) { server.Leaving = true }},
+		"draining":      {change: func(server *routing.Server) { server.Draining = true }},
 		"another model": {change: func(server *routing.Server) { server.Models = []string{"audit"} }},
 		"ejected":       {change: func(server *routing.Server) { server.Ejected = true }},
 		"tried before":  {request: func(request *routing.Request) { request.Tried = []string{"e00"} }},
@@ -204,7 +204,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		servers := engines(rapid.IntRange(0, 12).Draw(t, "servers"))
 		for i := range servers {
-			servers[i].Leaving = rapid.Bool().Draw(t, "leaving")
+			servers[i].Draining = rapid.Bool().Draw(t, "leaving")
 			servers[i].Ejected = rapid.Bool().Draw(t, "ejected")
 			servers[i].Free = rapid.IntRange(-memory, memory).Draw(t, "free")
 			servers[i].QueuedLong = rapid.IntRange(0, 1_000_000).Draw(t, "long")
@@ -234,7 +234,7 @@
 	totalMemory := 0
 	for i, chosen := range decision.Servers {
 		totalMemory += chosen.Memory
-		if chosen.Leaving {
+		if chosen.Draining {
 			return chosen.ID + " is draining"
 		}
 		if i > 0 && decision.Servers[i-1].ID >= chosen.ID {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"github.com/mastwinch/mastwinch/internal/fold"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 	ID           string
 	Organisation string
 	// Version is the version of the record that created the session.
-	Version fold.Version
+	Version statemachine.Version
 }
 
 // Sessions is an immutable set of sessions. Create it with New or Decode.
@@ -45,14 +45,14 @@
 
 // With returns a set to which the session of a create record is added, and the
 // verdict on the record. If the record is refused, the set is unchanged: with
-// fold.ReasonMalformed if the ID or the organisation is empty, and with
-// fold.ReasonConflict if the ID exists.
-func (sessions Sessions) With(version fold.Version, create *wire.CreateSession) (Sessions, fold.Verdict) {
+// statemachine.ReasonMalformed if the ID or the organisation is empty, and with
+// statemachine.ReasonConflict if the ID exists.
+func (sessions Sessions) With(version statemachine.Version, create *wire.CreateSession) (Sessions, statemachine.Verdict) {
 	if create.GetSessionId() == "" || create.GetOrganisation() == "" {
-		return sessions, fold.Refuse(fold.ReasonMalformed)
+		return sessions, statemachine.Refuse(statemachine.ReasonMalformed)
 	}
 	if _, exists := sessions.byID[create.GetSessionId()]; exists {
-		return sessions, fold.Refuse(fold.ReasonConflict)
+		return sessions, statemachine.Refuse(statemachine.ReasonConflict)
 	}
 	byID := maps.Clone(sessions.byID)
 	byID[create.GetSessionId()] = Session{
@@ -60,14 +60,14 @@
 		Organisation: create.GetOrganisation(),
 		Version:      version,
 	}
-	return Sessions{byID: byID}, fold.Accept(version)
+	return Sessions{byID: byID}, statemachine.Accept(version)
 }
 
 // Without returns a set from which the session of an end record is removed, and the
 // verdict on the record. If the record is refused, the set is unchanged.
-func (sessions Sessions) Without(version fold.Version, end *wire.EndSession) (Sessions, fold.Verdict) {
-	created := func(session Session) fold.Version { return session.Version }
-	byID, verdict := fold.Remove(sessions.byID, end.GetSessionId(), created, end.GetExpectedVersion(), version)
+func (sessions Sessions) Without(version statemachine.Version, end *wire.EndSession) (Sessions, statemachine.Verdict) {
+	created := func(session Session) statemachine.Version { return session.Version }
+	byID, verdict := statemachine.Remove(sessions.byID, end.GetSessionId(), created, end.GetExpectedVersion(), version)
 	return Sessions{byID: byID}, verdict
 }
 
@@ -90,7 +90,7 @@
 		sessions.byID[session.GetId()] = Session{
 			ID:           session.GetId(),
 			Organisation: session.GetOrganisation(),
-			Version:      fold.Version(session.GetVersion()),
+			Version:      statemachine.Version(session.GetVersion()),
 		}
 	}
 	return sessions
--- a/internal/standin/engine/calls.go
+++ b/internal/standin/engine/calls.go
@@ -20,8 +20,8 @@
 // RefusalError reports that a request or command was refused and nothing ran.
 type RefusalError struct {
 	Reason string
-	// Leaving reports that the engine is draining, and so accepts no new requests.
-	Leaving bool
+	// Draining reports that the engine is draining, and so accepts no new requests.
+	Draining bool
 }
 
 // Error returns the reason.
@@ -78,9 +78,9 @@
 	tokens := PromptTokens(submission.Prompt) + submission.MaxTokens
 	switch {
 	case engine.closed:
-		return &RefusalError{Reason: reasonDied}
+		return &RefusalError{Reason: reasonCrashed}
 	case engine.draining:
-		return &RefusalError{Reason: "leaving", Leaving: true}
+		return &RefusalError{Reason: "leaving", Draining: true}
 	case !slices.Contains(engine.models, submission.Model):
 		return &RefusalError{Reason: fmt.Sprintf("model %q is not loaded", submission.Model)}
 	case engine.streams[submission.Attempt] != nil:
@@ -149,9 +149,9 @@
 	tokens = engine.roundUp(tokens)
 	switch {
 	case engine.closed:
-		return &RefusalError{Reason: reasonDied}
+		return &RefusalError{Reason: reasonCrashed}
 	case engine.draining:
-		return &RefusalError{Reason: "leaving", Leaving: true}
+		return &RefusalError{Reason: "leaving", Draining: true}
 	case engine.reservations[id] != nil:
 		engine.reservations[id].expires = time.Now().Add(ttl)
 		return nil
@@ -315,7 +315,7 @@
 
 // load is CurrentLoad for callers that hold the mutex.
 func (engine *Engine) load() backend.Load {
-	load := backend.Load{FreeTokens: engine.freeTokens(), Leaving: engine.draining}
+	load := backend.Load{FreeTokens: engine.freeTokens(), Draining: engine.draining}
 	for _, stream := range engine.streams {
 		if !stream.live() {
 			continue
--- a/internal/standin/engine/command.go
+++ b/internal/standin/engine/command.go
@@ -35,7 +35,7 @@
 	defer engine.mu.Unlock()
 	switch {
 	case engine.closed:
-		return &RefusalError{Reason: reasonDied}
+		return &RefusalError{Reason: reasonCrashed}
 	case engine.checksFencing && command.Token < engine.commandToken:
 		return &RefusalError{Reason: fmt.Sprintf("token %d is older than %d", command.Token, engine.commandToken)}
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -16,8 +16,8 @@
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 )
 
-// reasonDied is the reason of refusals and failed streams of a closed engine.
-const reasonDied = "engine died"
+// reasonCrashed is the reason of refusals and failed streams of a closed engine.
+const reasonCrashed = "engine died"
 
 // Faults are failure modes that can be changed at run time.
 type Faults struct {
@@ -135,7 +135,7 @@
 	defer engine.mu.Unlock()
 	engine.closed = true
 	for _, stream := range engine.streams {
-		engine.end(stream, backend.EndFailed, reasonDied)
+		engine.end(stream, backend.EndFailed, reasonCrashed)
 	}
 	engine.wake.Broadcast()
 }
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -190,7 +190,7 @@
 	refusal := backend.Refusal{Reason: err.Error(), NotRun: true}
 	var refusalError *RefusalError
 	if errors.As(err, &refusalError) {
-		refusal.Leaving = refusalError.Leaving
+		refusal.Draining = refusalError.Draining
 	}
 	writeJSON(w, http.StatusServiceUnavailable, refusal)
 }
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -36,8 +36,8 @@
 	TransferToken time.Duration `yaml:"transfer_token" validate:"min=0"`
 	// DetachGrace is the time after which a stream without readers is cancelled.
 	DetachGrace time.Duration `yaml:"detach_grace" validate:"min=0"`
-	// KeepEnded is the time for which an ended stream can still be read.
-	KeepEnded time.Duration `yaml:"keep_ended" validate:"min=0"`
+	// EndedRetention is the time for which an ended stream can still be read.
+	EndedRetention time.Duration `yaml:"keep_ended" validate:"min=0"`
 }
 
 // DefaultSettings returns parameters of an engine that is about twenty times as
@@ -58,7 +58,7 @@
 		CacheEventLoss:  0.02,
 		TransferToken:   200 * time.Nanosecond,
 		DetachGrace:     10 * time.Second,
-		KeepEnded:       30 * time.Second,
+		EndedRetention:  30 * time.Second,
 	}
 }
 
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -54,7 +54,7 @@
 	for attempt, stream := range engine.streams {
 		switch {
 		case !stream.live():
-			if now.Sub(stream.endedAt) > engine.settings.KeepEnded {
+			if now.Sub(stream.endedAt) > engine.settings.EndedRetention {
 				delete(engine.streams, attempt)
 			}
 		case now.After(stream.deadline):
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -16,7 +16,7 @@
 	"github.com/gorilla/mux"
 	"golang.org/x/time/rate"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
@@ -128,7 +128,7 @@
 // Read returns a page of entries from the given offset. If there are none yet,
 // it waits for an entry for up to the given time. It returns false during an
 // outage.
-func (logservice *LogService) Read(ctx context.Context, name string, from uint64, wait time.Duration) (infra.Page, bool) {
+func (logservice *LogService) Read(ctx context.Context, name string, from uint64, wait time.Duration) (platformclient.Page, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -148,18 +148,18 @@
 
 // page returns the entries available from the given offset, a channel that is
 // closed when an entry is added, and false during an outage.
-func (logservice *LogService) page(name string, from uint64) (infra.Page, <-chan struct{}, bool) {
+func (logservice *LogService) page(name string, from uint64) (platformclient.Page, <-chan struct{}, bool) {
 	logservice.mu.Lock()
 	defer logservice.mu.Unlock()
 	if logservice.faults.Outage {
-		return infra.Page{}, nil, false
+		return platformclient.Page{}, nil, false
 	}
 	stream := logservice.stream(name)
 	stream.expire(time.Now().Add(-logservice.settings.Retention))
-	page := infra.Page{First: stream.first, Next: stream.next()}
+	page := platformclient.Page{First: stream.first, Next: stream.next()}
 	for offset := max(from, stream.first); offset < stream.next() && len(page.Entries) < maxPage; offset++ {
 		data := stream.entries[offset-stream.first].data
-		page.Entries = append(page.Entries, infra.Entry{Offset: offset, Data: data})
+		page.Entries = append(page.Entries, platformclient.Entry{Offset: offset, Data: data})
 	}
 	return page, stream.entryAdded, true
 }
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -68,8 +68,8 @@
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// era is the store's epoch, that is, the number of rollbacks so far.
-	era   int64
+	// epoch is the store's epoch, that is, the number of rollbacks so far.
+	epoch int64
 	fault Fault
 	calls int
 	// changed is closed and replaced when a record is added or the store is
@@ -167,7 +167,7 @@
 	store.calls++
 	fault, faultChanged := store.fault, store.faultChanged
 	store.mu.Unlock()
-	writer = &eraWriter{ResponseWriter: writer, store: store}
+	writer = &epochWriter{ResponseWriter: writer, store: store}
 	switch fault {
 	case FaultBusy:
 		writer.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/metastore/snapshot.go
+++ b/internal/standin/metastore/snapshot.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// headerEra is the response header with the store's epoch, the number of its rollbacks so far.
-const headerEra = "Store-Era"
+// headerEpoch is the response header with the store's epoch, the number of its rollbacks so far.
+const headerEpoch = "Store-Era"
 
 // Snapshot is a copy of the store's contents at one point in time.
 type Snapshot struct {
@@ -28,7 +28,7 @@
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.topics = cloneTopics(snapshot.topics)
-	store.era++
+	store.epoch++
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
@@ -44,8 +44,8 @@
 	return cloned
 }
 
-// eraWriter adds the store's epoch to the response header, as of the time when the response is written.
-type eraWriter struct {
+// epochWriter adds the store's epoch to the response header, as of the time when the response is written.
+type epochWriter struct {
 	http.ResponseWriter
 
 	store   *Store
@@ -53,23 +53,23 @@
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (epochWriter *eraWriter) WriteHeader(status int) {
-	epochWriter.setEra()
+func (epochWriter *epochWriter) WriteHeader(status int) {
+	epochWriter.setEpoch()
 	epochWriter.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (epochWriter *eraWriter) Write(data []byte) (int, error) {
-	epochWriter.setEra()
+func (epochWriter *epochWriter) Write(data []byte) (int, error) {
+	epochWriter.setEpoch()
 	return epochWriter.ResponseWriter.Write(data) //nolint:wrapcheck // the writer's own errors
 }
 
-func (epochWriter *eraWriter) setEra() {
+func (epochWriter *epochWriter) setEpoch() {
 	if epochWriter.written {
 		return
 	}
 	epochWriter.written = true
 	epochWriter.store.mu.Lock()
 	defer epochWriter.store.mu.Unlock()
-	epochWriter.Header().Set(headerEra, strconv.FormatInt(epochWriter.store.era, 10))
+	epochWriter.Header().Set(headerEpoch, strconv.FormatInt(epochWriter.store.epoch, 10))
 }
--- a/internal/standin/platformserver/stream.go
+++ b/internal/standin/platformserver/stream.go
@@ -232,7 +232,7 @@
 			stall.Stop()
 			return event, ok
 		case <-stall.C:
-			if !engine.enginesAlive(generation) {
+			if !engine.enginesRunning(generation) {
 				panic(http.ErrAbortHandler)
 			}
 		case <-request.Context().Done():
@@ -242,9 +242,9 @@
 	}
 }
 
-// enginesAlive reports whether all engines that process a request are running and
+// enginesRunning reports whether all engines that process a request are running and
 // the request has not been ended.
-func (engine *Engine) enginesAlive(generation *generation) bool {
+func (engine *Engine) enginesRunning(generation *generation) bool {
 	for _, other := range append([]*Engine{engine}, generation.helpers...) {
 		other.passMu.Lock()
 		killed := other.killed
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/standin/engine"
 	"github.com/mastwinch/mastwinch/internal/standin/service"
 )
@@ -16,7 +16,7 @@
 // server is a simulated backend server: an engine or a service with its HTTP
 // server. It can be killed and started again.
 type server struct {
-	vm infra.VM
+	vm platformclient.VM
 	// build returns a new engine or service without any state.
 	build func() instance
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -108,7 +108,7 @@
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	if service.draining {
-		return &backend.Refusal{Reason: "leaving", NotRun: true, Leaving: true}
+		return &backend.Refusal{Reason: "leaving", NotRun: true, Draining: true}
 	}
 	key := header.Get(backend.HeaderKey)
 	if !service.checksFencing || key == "" {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -17,7 +17,7 @@
 	"github.com/gorilla/mux"
 
 	"github.com/mastwinch/mastwinch/internal/backend"
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 	"github.com/mastwinch/mastwinch/internal/standin/engine"
 	"github.com/mastwinch/mastwinch/internal/standin/execution"
 	"github.com/mastwinch/mastwinch/internal/standin/logservice"
@@ -63,7 +63,7 @@
 	for _, group := range settings.Services {
 		standin.addServices(host, group)
 	}
-	vms := make([]infra.VM, 0, len(standin.servers))
+	vms := make([]platformclient.VM, 0, len(standin.servers))
 	for _, server := range standin.servers {
 		vms = append(vms, server.vm)
 	}
@@ -73,11 +73,11 @@
 
 func (standin *Standin) addEngines(host string, group EngineGroup) {
 	for i := range group.Count {
-		vm := infra.VM{
+		vm := platformclient.VM{
 			ID:            fmt.Sprintf("%s-%02d", group.Name, i),
 			Address:       net.JoinHostPort(host, strconv.Itoa(group.FirstPort+i)),
 			DataCentre:    group.DataCentre,
-			Kind:          infra.KindEngine,
+			Kind:          platformclient.KindEngine,
 			Models:        group.Models,
 			ChecksFencing: group.ChecksFencing,
 			MemoryTokens:  uint64(standin.settings.Engine.MemoryTokens), //nolint:gosec // checked to be positive
@@ -93,11 +93,11 @@
 
 func (standin *Standin) addServices(host string, group ServiceGroup) {
 	for i := range group.Count {
-		vm := infra.VM{
+		vm := platformclient.VM{
 			ID:            fmt.Sprintf("%s-%02d", group.Name, i),
 			Address:       net.JoinHostPort(host, strconv.Itoa(group.FirstPort+i)),
 			DataCentre:    group.DataCentre,
-			Kind:          infra.KindService,
+			Kind:          platformclient.KindService,
 			Models:        []string{group.Service},
 			ChecksFencing: group.ChecksFencing,
 		}
@@ -164,11 +164,11 @@
 		healthy := isHealthy(ctx, client, "http://"+vm.Address+"/healthz")
 		switch {
 		case healthy && !listed:
-			standin.vms.Put(infra.VM{
+			standin.vms.Put(platformclient.VM{
 				ID:            vm.ID,
 				Address:       vm.Address,
 				DataCentre:    vm.DataCentre,
-				Kind:          infra.KindSystem,
+				Kind:          platformclient.KindSystem,
 				KeeperAddress: vm.KeeperAddress,
 			})
 		case !healthy && listed:
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -11,7 +11,7 @@
 
 	"github.com/gorilla/mux"
 
-	"github.com/mastwinch/mastwinch/internal/infra"
+	"github.com/mastwinch/mastwinch/internal/platformclient"
 )
 
 // Faults are failure modes that can be changed at run time.
@@ -28,7 +28,7 @@
 
 	mu     sync.Mutex
 	faults Faults
-	frozen []infra.VM
+	frozen []platformclient.VM
 	// history has the versions of the list, oldest first, from the one currently
 	// visible.
 	history []version
@@ -37,11 +37,11 @@
 // version is the list as it was changed at one time.
 type version struct {
 	since time.Time
-	vms   []infra.VM
+	vms   []platformclient.VM
 }
 
 // New returns a list of the given VMs whose changes become visible after lag.
-func New(lag time.Duration, vms []infra.VM) *VMList {
+func New(lag time.Duration, vms []platformclient.VM) *VMList {
 	return &VMList{
 		lag:     lag,
 		history: []version{{vms: slices.Clone(vms)}},
@@ -54,25 +54,25 @@
 }
 
 // Put adds a VM, or replaces the one with the same ID.
-func (vmlist *VMList) Put(vm infra.VM) {
-	vmlist.change(func(vms []infra.VM) []infra.VM {
+func (vmlist *VMList) Put(vm platformclient.VM) {
+	vmlist.change(func(vms []platformclient.VM) []platformclient.VM {
 		return append(withoutVM(vms, vm.ID), vm)
 	})
 }
 
 // Remove removes the VM with the given ID, if there is one.
 func (vmlist *VMList) Remove(id string) {
-	vmlist.change(func(vms []infra.VM) []infra.VM {
+	vmlist.change(func(vms []platformclient.VM) []platformclient.VM {
 		return withoutVM(vms, id)
 	})
 }
 
 // MarkDraining marks the VM with the given ID as draining.
 func (vmlist *VMList) MarkDraining(id string) {
-	vmlist.change(func(vms []infra.VM) []infra.VM {
+	vmlist.change(func(vms []platformclient.VM) []platformclient.VM {
 		changed := slices.Clone(vms)
 		for i := range changed {
-			changed[i].Leaving = changed[i].Leaving || changed[i].ID == id
+			changed[i].Draining = changed[i].Draining || changed[i].ID == id
 		}
 		return changed
 	})
@@ -88,7 +88,7 @@
 	vmlist.faults = faults
 }
 
-func (vmlist *VMList) change(apply func([]infra.VM) []infra.VM) {
+func (vmlist *VMList) change(apply func([]platformclient.VM) []platformclient.VM) {
 	vmlist.mu.Lock()
 	defer vmlist.mu.Unlock()
 	latest := vmlist.history[len(vmlist.history)-1].vms
@@ -97,7 +97,7 @@
 
 // visible returns the newest list that is older than the lag, or the initial
 // list. It drops older versions. The caller must hold the mutex.
-func (vmlist *VMList) visible() []infra.VM {
+func (vmlist *VMList) visible() []platformclient.VM {
 	cutoff := time.Now().Add(-vmlist.lag)
 	for len(vmlist.history) > 1 && vmlist.history[1].since.Before(cutoff) {
 		vmlist.history = vmlist.history[1:]
@@ -121,6 +121,6 @@
 	_ = json.NewEncoder(w).Encode(vms)
 }
 
-func withoutVM(vms []infra.VM, id string) []infra.VM {
-	return slices.DeleteFunc(slices.Clone(vms), func(vm infra.VM) bool { return vm.ID == id })
+func withoutVM(vms []platformclient.VM, id string) []platformclient.VM {
+	return slices.DeleteFunc(slices.Clone(vms), func(vm platformclient.VM) bool { return vm.ID == id })
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/mastwinch/mastwinch/internal/configuration"
-	"github.com/mastwinch/mastwinch/internal/fold"
 	"github.com/mastwinch/mastwinch/internal/ledger"
 	"github.com/mastwinch/mastwinch/internal/session"
+	"github.com/mastwinch/mastwinch/internal/statemachine"
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 // Result is the verdict on one record.
 type Result struct {
 	RecordID string
-	Verdict  fold.Verdict
+	Verdict  statemachine.Verdict
 }
 
 // OrderError is returned if an entry is applied before an earlier one.
@@ -62,19 +62,19 @@
 	}
 	state.Next = offset + 1
 	records := batch.GetRecords()
-	if len(records) > fold.MaxBatch {
+	if len(records) > statemachine.MaxBatch {
 		// No keeper writes longer entries. With more records, versions would not be in log order.
-		records = records[:fold.MaxBatch]
+		records = records[:statemachine.MaxBatch]
 	}
 	results := make([]Result, 0, len(records))
 	for index, record := range records {
-		verdict := state.apply(fold.VersionAt(offset, index), record)
+		verdict := state.apply(statemachine.VersionAt(offset, index), record)
 		results = append(results, Result{RecordID: record.GetId(), Verdict: verdict})
 	}
 	return results, nil
 }
 
-func (state *State) apply(version fold.Version, record *wire.Record) (verdict fold.Verdict) {
+func (state *State) apply(version statemachine.Version, record *wire.Record) (verdict statemachine.Verdict) {
 	switch body := record.GetBody().(type) {
 	case *wire.Record_Begin:
 		return state.Ledger.Begin(version, body.Begin)
@@ -95,7 +95,7 @@
 	case *wire.Record_EndSession:
 		state.Sessions, verdict = state.Sessions.Without(version, body.EndSession)
 	default:
-		return fold.Refuse(fold.ReasonUnknownKind)
+		return statemachine.Refuse(statemachine.ReasonUnknownKind)
 	}
 	return verdict
 }
--- a/internal/fold/remove.go
+++ b/internal/statemachine/remove.go
@@ -1,4 +1,4 @@
-package fold
+package statemachine
 
 import "maps"
 
--- a/internal/fold/verdict.go
+++ b/internal/statemachine/verdict.go
@@ -1,7 +1,7 @@
-// Package fold has the types that the parts of the replicated state share: the version
+// Package statemachine has the types that the parts of the replicated state share: the version
 // of a record, and the verdict on it, which says whether the record was accepted when it
 // was applied. All VMs apply the records of the log in the same order.
-package fold
+package statemachine
 
 // MaxBatch is the maximum number of records in one log entry.
 const MaxBatch = 1024
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,20 +37,20 @@
 	OpenMin    time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenFactor float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax    time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// OpenMemory is how long the duration of the last connection attempt to a server is kept.
-	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
+	// HistoryRetention is how long the duration of the last connection attempt to a server is kept.
+	HistoryRetention time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
 // DefaultSettings returns settings for servers in several data centres of one city.
 func DefaultSettings() Settings {
 	return Settings{
-		MaxIdle:    32,
-		IdleTime:   4 * time.Second,
-		IdleMargin: 700 * time.Millisecond,
-		OpenMin:    150 * time.Millisecond,
-		OpenFactor: 4,
-		OpenMax:    500 * time.Millisecond,
-		OpenMemory: time.Minute,
+		MaxIdle:          32,
+		IdleTime:         4 * time.Second,
+		IdleMargin:       700 * time.Millisecond,
+		OpenMin:          150 * time.Millisecond,
+		OpenFactor:       4,
+		OpenMax:          500 * time.Millisecond,
+		HistoryRetention: time.Minute,
 	}
 }
 
--- a/internal/upstream/history.go
+++ b/internal/upstream/history.go
@@ -81,11 +81,11 @@
 	history.set(address, record)
 }
 
-// sweep drops the records of servers without an attempt within Settings.OpenMemory.
+// sweep drops the records of servers without an attempt within Settings.HistoryRetention.
 func (history *history) sweep() {
 	history.mu.Lock()
 	defer history.mu.Unlock()
-	oldest := history.now().Add(-history.settings.OpenMemory)
+	oldest := history.now().Add(-history.settings.HistoryRetention)
 	for address, record := range history.byAddress {
 		if record.updatedAt.Before(oldest) {
 			delete(history.byAddress, address)
--- a/internal/upstream/history_internal_test.go
+++ b/internal/upstream/history_internal_test.go
@@ -65,7 +65,7 @@
 					assert.Equal(t, time.Since(startedAt), test.waits[index])
 					assert.Equal(t, err == nil, delay == test.waits[index])
 				}
-				time.Sleep(2 * DefaultSettings().OpenMemory)
+				time.Sleep(2 * DefaultSettings().HistoryRetention)
 				history.sweep()
 				assert.Equal(t, len(history.byAddress), 0)
 			})
