--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,9 +30,9 @@
 
 // attempt sends the request to the servers of a plan. It always releases use, which holds the
 // capacity claimed for the plan.
-func (forwarder *forwarder) attempt(ctx context.Context, plan placement.Plan, use *pool.ActiveRequest) result {
+func (forwarder *forwarder) attempt(ctx context.Context, plan placement.Plan, activeRequest *pool.ActiveRequest) result {
 	gateway := forwarder.gateway
-	defer use.Finish()
+	defer activeRequest.Finish()
 	reserved, err := forwarder.reserveMemory(ctx, plan)
 	if err != nil {
 		return result{kind: resultNoMemory, err: err}
@@ -66,13 +66,13 @@
 	if err != nil {
 		return sendErrorResult(ctx, err)
 	}
-	answer := gateway.codec.Answer(response.Status, response.Header)
-	defer func() { response.Close(answer.IdleTimeout) }()
-	activeAttempt := &activeAttempt{plan: plan, use: use, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
-	if answer.Stream && answer.Sealed && !answer.ContentEncoded && response.Status/100 == 2 {
+	decoded := gateway.codec.Answer(response.Status, response.Header)
+	defer func() { response.Close(decoded.IdleTimeout) }()
+	activeAttempt := &activeAttempt{plan: plan, use: activeRequest, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
+	if decoded.Stream && decoded.Sealed && !decoded.ContentEncoded && response.Status/100 == 2 {
 		return forwarder.relay(ctx, activeAttempt)
 	}
-	return forwarder.receiveBuffered(ctx, activeAttempt, answer)
+	return forwarder.receiveBuffered(ctx, activeAttempt, decoded)
 }
 
 // reserveMemory reserves memory at the servers of a plan. It returns nil without an error if the
@@ -145,7 +145,7 @@
 
 // receiveBuffered reads a plain response whole. It forwards the response unless it is a failure
 // after which another server may be tried.
-func (forwarder *forwarder) receiveBuffered(ctx context.Context, activeAttempt *activeAttempt, answer call.Response) result {
+func (forwarder *forwarder) receiveBuffered(ctx context.Context, activeAttempt *activeAttempt, decoded call.Response) result {
 	response := activeAttempt.response
 	body, release, err := forwarder.gateway.responseMemory.read(ctx, activeAttempt, forwarder.gateway.settings.Request.MaxResponseBytes)
 	defer release()
@@ -156,10 +156,10 @@
 		}
 	case int64(len(body)) > forwarder.gateway.settings.Request.MaxResponseBytes:
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response body is too long")}
-	case answer.NotRun:
+	case decoded.NotRun:
 		return result{
-			kind: resultNotRun, status: response.Status, serverClosed: answer.Misdirected && answer.FailedServer == "",
-			failedServer: answer.FailedServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
+			kind: resultNotRun, status: response.Status, serverClosed: decoded.Misdirected && decoded.FailedServer == "",
+			failedServer: decoded.FailedServer, err: errors.Newf("status %d: server did not execute the request", response.Status),
 		}
 	}
 	if impliesNotRun(response.Status) {
@@ -169,7 +169,7 @@
 	}
 	buffered := &bufferedResponse{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError {
-		if !answer.Sealed {
+		if !decoded.Sealed {
 			buffered = nil
 		}
 		return result{
@@ -177,7 +177,7 @@
 			err: errors.Newf("status %d", response.Status),
 		}
 	}
-	if response.Status/100 == 2 && (!answer.Sealed || answer.ContentEncoded) {
+	if response.Status/100 == 2 && (!decoded.Sealed || decoded.ContentEncoded) {
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response does not carry the mark that proves it came from the server")}
 	}
 	forwarder.writeBuffered(buffered)
@@ -185,12 +185,12 @@
 }
 
 // writeBuffered writes a whole response to the caller.
-func (forwarder *forwarder) writeBuffered(answer *bufferedResponse) {
-	forwarder.copyHeader(answer.header)
-	forwarder.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
+func (forwarder *forwarder) writeBuffered(buffered *bufferedResponse) {
+	forwarder.copyHeader(buffered.header)
+	forwarder.writer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	forwarder.setWriteDeadline()
-	forwarder.writer.WriteHeader(answer.status)
-	_, _ = io.Copy(forwarder.writer, bytes.NewReader(answer.body)) // the caller may have disconnected
+	forwarder.writer.WriteHeader(buffered.status)
+	_, _ = io.Copy(forwarder.writer, bytes.NewReader(buffered.body)) // the caller may have disconnected
 }
 
 // copyHeader copies the header of a server's response into the response to the caller.
@@ -199,7 +199,7 @@
 	for name, values := range forwarder.gateway.codec.ClientHeader(header) {
 		target[name] = values
 	}
-	if _, stated := target["Content-Type"]; !stated {
+	if _, present := target["Content-Type"]; !present {
 		target["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
@@ -227,9 +227,9 @@
 
 // restartWatchdog makes the watchdog cancel the attempt if the server sends nothing for the given
 // time from now on.
-func (activeAttempt *activeAttempt) restartWatchdog(silence time.Duration) {
+func (activeAttempt *activeAttempt) restartWatchdog(timeout time.Duration) {
 	if activeAttempt.watchdog != nil {
-		activeAttempt.watchdog.Reset(silence)
+		activeAttempt.watchdog.Reset(timeout)
 	}
 }
 
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -15,14 +15,14 @@
 	Head(request *http.Request) (call.Head, error)
 	// ServerHeader returns the header to send to a server.
 	ServerHeader(header http.Header, dispatch call.Dispatch) http.Header
-	// Answer decodes the status and header of a server's response.
+	// Response decodes the status and header of a server's response.
 	Answer(status int, header http.Header) call.Response
 	// Notice decodes what the addressed server states about itself in the header of a
 	// response.
 	Notice(status int, header http.Header) call.Notice
-	// ClientHeader returns the header to send to the caller for the header of a server's response.
+	// CallerHeader returns the header to send to the caller for the header of a server's response.
 	ClientHeader(header http.Header) http.Header
 	// Refusal adds fields to the header of a response that the gateway itself generates. A zero
-	// retryAfter means that the caller is not told when to retry.
+	// retryAfter means that the response does not state when to retry.
 	Refusal(header http.Header, requestID string, retryAfter time.Duration)
 }
--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/configuration_test.go
@@ -90,7 +90,7 @@
 		assert.Assert(t, !harness.ready())
 		got := harness.query(plainRequest(http.MethodGet, "look"))
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
-		// An outage of the store lasts for seconds, and a client that retries sooner has its last
+		// An outage of the store lasts for seconds, and a caller that retries sooner has its last
 		// attempt refused too.
 		seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		assert.NilError(t, err)
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -21,13 +21,13 @@
 	}
 	for !forwarder.cannotBePlaced() {
 		changed := gateway.pool.Changed()
-		plan, use, placed := forwarder.requestPlacement(ctx)
+		plan, activeRequest, placed := forwarder.requestPlacement(ctx)
 		forwarder.retryGranted = placed
 		if !placed && !forwarder.placementRefused && ctx.Err() == nil {
-			plan, use, placed = forwarder.placeLocally()
+			plan, activeRequest, placed = forwarder.placeLocally()
 		}
 		if placed {
-			return plan, use, true
+			return plan, activeRequest, true
 		}
 		if forwarder.placementRefused || !forwarder.waitForCapacity(ctx, changed) {
 			break
@@ -44,24 +44,24 @@
 		id := gateway.pool.ReserveID()
 		alreadyCounted := forwarder.placementRequested
 		forwarder.placementRequested = true
-		answer, placed := gateway.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest { return forwarder.coordinatorRequest(id, alreadyCounted) })
-		forwarder.placementRefused = placed && answer.Decision == dispatch.DecisionRefused
+		response, placed := gateway.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest { return forwarder.coordinatorRequest(id, alreadyCounted) })
+		forwarder.placementRefused = placed && response.Decision == dispatch.DecisionRefused
 		switch {
 		case forwarder.placementRefused && forwarder.cannotBePlaced():
-		case forwarder.placementRefused && answer.RetryAfter > 0:
-			forwarder.rejection = rejection{reason: ReasonServersRateLimited, until: gateway.now().Add(answer.RetryAfter)}
+		case forwarder.placementRefused && response.RetryAfter > 0:
+			forwarder.rejection = rejection{reason: ReasonServersRateLimited, until: gateway.now().Add(response.RetryAfter)}
 		case forwarder.placementRefused && forwarder.sends > 0:
 			forwarder.rejection = rejection{reason: ReasonServersRefused}
 		}
 		if !placed || forwarder.placementRefused {
 			return placement.Plan{}, nil, false
 		}
-		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.allowedDataCentres, answer.Servers)
+		servers, missing := gateway.pool.Find(forwarder.service.Name, forwarder.allowedDataCentres, response.Servers)
 		if len(missing) == 0 {
-			if answer.RateLimited {
+			if response.RateLimited {
 				gateway.pool.WatchRateLimit(servers[0].ID)
 			}
-			plan := planFromAnswer(answer, servers)
+			plan := planFromAnswer(response, servers)
 			return plan, gateway.pool.StartWithID(id, plan, forwarder.placementRequest()), true
 		}
 		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
@@ -89,17 +89,17 @@
 	}
 }
 
-// planFromAnswer returns the plan of the coordinator's decision, over the servers that it names.
-func planFromAnswer(answer dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
+// planFromResponse returns the plan of the coordinator's decision, over the servers that it names.
+func planFromAnswer(response dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
 	return placement.Plan{
-		Server: servers[0], Helpers: servers[1:], PrefillPerServer: answer.PrefillPerServer, MemoryShares: answer.MemoryShares,
-		PredictedTTFT: answer.PredictedTTFT, Packable: answer.Packable, Reason: placement.Reason(answer.Reason),
+		Server: servers[0], Helpers: servers[1:], PrefillPerServer: response.PrefillPerServer, MemoryShares: response.MemoryShares,
+		PredictedTTFT: response.PredictedTTFT, Packable: response.Packable, Reason: placement.Reason(response.Reason),
 	}
 }
 
 // queueDeadline returns until when a request is queued. A plain request, or one that was already
 // sent to a server, is queued until its deadline. Any other request is queued as long as the
-// settings allow, or, if it is tight (see placement.Request.Packable), while its caller could still
+// settings allow, or, if it is packable (see placement.Request.Packable), while its caller could still
 // receive an event in time. This bounds the queue and the memory for its bodies, and leaves the
 // caller time to retry.
 func (forwarder *forwarder) queueDeadline() time.Time {
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -59,7 +59,7 @@
 }
 
 // appendVerdicts adds the verdicts on the assignment queries of a datagram to a reply. In such a query (wire.Ask) a VM requests
-// servers for one client request from the coordinator. It reports whether a reply must be sent.
+// servers for one caller's request from the coordinator. It reports whether a reply must be sent.
 func appendVerdicts(data []byte, reply *wire.LoadUpdate, verdictFor func(query *wire.Ask) *wire.Verdict) bool {
 	update := &wire.LoadUpdate{}
 	if proto.Unmarshal(data, update) != nil {
@@ -182,9 +182,9 @@
 	return dueTimes.due[0], dueTimes.due[1]
 }
 
-// TestCoordinatorRefusalReachesClientAtOnce has a coordinator that expects no free capacity. The client must receive a
+// TestCoordinatorRefusalReachesCallerAtOnce has a coordinator that expects no free capacity. The caller must receive a
 // refusal with Retry-After at once, and no server may receive the request.
-func TestCoordinatorRefusalReachesClientAtOnce(t *testing.T) {
+func TestCoordinatorRefusalReachesCallerAtOnce(t *testing.T) {
 	verdictFor := constantVerdict(wire.Decision_DECISION_REFUSED)
 	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, verdictFor, func(harness *harness) {
 		got := harness.query(streamRequest("chat").with("Token-Counts", "1000,50"))
@@ -195,9 +195,9 @@
 	})
 }
 
-// TestShortPromptIsNotQueuedPastClientTimeout guards against queueing a short prompt for its whole deadline of 10 s when the
-// coordinator assigns no server. Its client disconnects after two seconds without an event.
-func TestShortPromptIsNotQueuedPastClientTimeout(t *testing.T) {
+// TestShortPromptIsNotQueuedPastCallerTimeout guards against queueing a short prompt for its whole deadline of 10 s when the
+// coordinator assigns no server. Its caller disconnects after two seconds without an event.
+func TestShortPromptIsNotQueuedPastCallerTimeout(t *testing.T) {
 	verdictFor := constantVerdict(wire.Decision_DECISION_HELD)
 	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, verdictFor, func(harness *harness) {
 		got := harness.query(streamRequest("chat").with("Token-Counts", "1000,50"))
@@ -221,7 +221,7 @@
 	})
 }
 
-// TestRetriedRequestIsDueByFirstAttempt has a client with 700 ms less left than others, which means that it retries. The
+// TestRetriedRequestIsDueByFirstAttempt has a caller with 700 ms less left than others, which means that it retries. The
 // objective counts from its first attempt, so a short prompt is late already; it was treated as a first attempt.
 func TestRetriedRequestIsDueByFirstAttempt(t *testing.T) {
 	const tolerance = 25 * time.Millisecond
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -22,31 +22,31 @@
 	sendsAllowed   = 3
 )
 
-// TestCrashingRequestIsQuarantined guards against one request that crashes server after server. Its clients retried it
+// TestCrashingRequestIsQuarantined guards against one request that crashes server after server. Its callers retried it
 // through other VMs under new IDs, and each VM treated it as new and sent it to one more server, or to two where the
 // stream may be resumed: one fingerprint crashed nine servers in two seconds. The servers were ejected, but the request
 // was not quarantined, and half of the short prompts were refused while the servers restarted.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for name, test := range map[string]struct {
-		clientRequest clientRequest
+		callerRequest callerRequest
 		// between runs between the two rounds of requests; nil does nothing.
 		between func(fleet *fleet)
 	}{
-		"resumable stream":           {clientRequest: streamRequest("chat")},
-		"stream that must run once":  {clientRequest: streamRequest("bill")},
-		"repeatable request":         {clientRequest: plainRequest(http.MethodPost, "look")},
-		"request that must run once": {clientRequest: plainRequest(http.MethodPost, "pay")},
-		"quarantine has expired": {clientRequest: streamRequest("chat"), between: func(*fleet) {
+		"resumable stream":           {callerRequest: streamRequest("chat")},
+		"stream that must run once":  {callerRequest: streamRequest("bill")},
+		"repeatable request":         {callerRequest: plainRequest(http.MethodPost, "look")},
+		"request that must run once": {callerRequest: plainRequest(http.MethodPost, "pay")},
+		"quarantine has expired": {callerRequest: streamRequest("chat"), between: func(*fleet) {
 			time.Sleep(gateway.DefaultSettings().Quarantine.Time)
 		}},
-		"all VMs restart": {clientRequest: streamRequest("chat"), between: func(fleet *fleet) {
+		"all VMs restart": {callerRequest: streamRequest("chat"), between: func(fleet *fleet) {
 			fleet.stopAll()
 			fleet.startAll()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, 5, 9, func(fleet *fleet) {
-				crashingRequest := test.clientRequest
+				crashingRequest := test.callerRequest
 				crashingRequest.body = crashingBody
 				fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second)
 				time.Sleep(5 * time.Second)
@@ -64,23 +64,23 @@
 }
 
 // TestOtherRequestsAreNotQuarantinedForCrashes guards against quarantining requests that merely run on the servers that
-// crash. Their bodies differ, and their clients retry at once, so the same requests are present at many crashes.
+// crash. Their bodies differ, and their callers retry at once, so the same requests are present at many crashes.
 func TestOtherRequestsAreNotQuarantinedForCrashes(t *testing.T) {
 	const wantReason = `"error":"crashes_servers"`
 	withFleet(t, 5, 9, func(fleet *fleet) {
 		crashingRequest := streamRequest("chat")
 		crashingRequest.body = crashingBody
-		otherRequests := []clientRequest{streamRequest("bill"), streamRequest("chat"), plainRequest(http.MethodGet, "look")}
-		var clients sync.WaitGroup
-		var crashingResponses []clientResponse
-		otherResponses := make([][]clientResponse, len(otherRequests))
-		clients.Go(func() { crashingResponses = fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second) })
-		for number, clientRequest := range otherRequests {
-			clients.Go(func() {
-				otherResponses[number] = fleet.queryRetrying(clientRequest, 60*time.Millisecond, 4*time.Second)
+		otherRequests := []callerRequest{streamRequest("bill"), streamRequest("chat"), plainRequest(http.MethodGet, "look")}
+		var callers sync.WaitGroup
+		var crashingResponses []callerResponse
+		otherResponses := make([][]callerResponse, len(otherRequests))
+		callers.Go(func() { crashingResponses = fleet.queryRetrying(crashingRequest, 300*time.Millisecond, 4*time.Second) })
+		for number, callerRequest := range otherRequests {
+			callers.Go(func() {
+				otherResponses[number] = fleet.queryRetrying(callerRequest, 60*time.Millisecond, 4*time.Second)
 			})
 		}
-		clients.Wait()
+		callers.Wait()
 		last := crashingResponses[len(crashingResponses)-1]
 		assert.Equal(fleet.t, last.status, http.StatusServiceUnavailable)
 		assert.Assert(fleet.t, strings.Contains(last.body, wantReason), last.body)
@@ -93,8 +93,8 @@
 			}
 		}
 		time.Sleep(entryTime)
-		for _, clientRequest := range otherRequests {
-			for _, got := range fleet.queryRetrying(clientRequest, 100*time.Millisecond, time.Second) {
+		for _, callerRequest := range otherRequests {
+			for _, got := range fleet.queryRetrying(callerRequest, 100*time.Millisecond, time.Second) {
 				assert.Equal(fleet.t, got.status, http.StatusOK, got.body)
 			}
 		}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDisconnectedClientsCancelRequests has clients that disconnect while their request is queued, waits for its first event
+// TestDisconnectedCallersCancelRequests has callers that disconnect while their request is queued, waits for its first event
 // or is not complete. Its server must receive the cancellation within half a second, and no server may receive it later.
-func TestDisconnectedClientsCancelRequests(t *testing.T) {
+func TestDisconnectedCallersCancelRequests(t *testing.T) {
 	// Longer than the key/value memory of the only engine, so that it stays queued.
 	tooLong := streamRequest("chat").with("Token-Counts", "300000,500")
 	incomplete := plainRequest(http.MethodPost, "pay").with("Content-Length", "10")
 	for name, test := range map[string]struct {
-		clientRequest clientRequest
-		// reachesServer reports whether the request reaches a server before its client disconnects.
+		callerRequest callerRequest
+		// reachesServer reports whether the request reaches a server before its caller disconnects.
 		reachesServer bool
 	}{
-		"queued":                     {clientRequest: tooLong},
-		"waits for its first event":  {clientRequest: streamRequest("chat"), reachesServer: true},
-		"waits for a plain response": {clientRequest: plainRequest(http.MethodGet, "look"), reachesServer: true},
-		"body incomplete":            {clientRequest: incomplete},
+		"queued":                     {callerRequest: tooLong},
+		"waits for its first event":  {callerRequest: streamRequest("chat"), reachesServer: true},
+		"waits for a plain response": {callerRequest: plainRequest(http.MethodGet, "look"), reachesServer: true},
+		"body incomplete":            {callerRequest: incomplete},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cancelledAt := make(chan time.Time, 10)
@@ -31,13 +31,13 @@
 				cancelledAt <- time.Now()
 			}
 			withHarness(t, map[string]backend{"one": waitForCancellation}, map[string]backend{"one": waitForCancellation}, func(harness *harness) {
-				test.clientRequest.disconnectAfter = 300 * time.Millisecond
-				harness.query(test.clientRequest)
+				test.callerRequest.disconnectAfter = 300 * time.Millisecond
+				harness.query(test.callerRequest)
 				disconnectedAt := time.Now()
 				received := len(harness.requests())
 				assert.Equal(t, received > 0, test.reachesServer)
 				time.Sleep(12 * time.Second)
-				assert.Equal(t, len(harness.requests()), received, "no request may reach a server after the client has disconnected")
+				assert.Equal(t, len(harness.requests()), received, "no request may reach a server after the caller has disconnected")
 				if test.reachesServer {
 					assert.Assert(t, (<-cancelledAt).Sub(disconnectedAt) < 500*time.Millisecond)
 				}
@@ -69,17 +69,17 @@
 	})
 }
 
-func TestDisconnectedClientCancelsStream(t *testing.T) {
+func TestDisconnectedCallerCancelsStream(t *testing.T) {
 	cancelledAt := make(chan time.Time, 1)
 	servers := map[string]backend{"one": func(_ *harness, _ int, _ http.ResponseWriter, request *http.Request) {
 		<-request.Context().Done()
 		cancelledAt <- time.Now()
 	}}
 	withHarness(t, servers, nil, func(harness *harness) {
-		clientRequest := streamRequest("chat")
-		clientRequest.disconnectAfter = 300 * time.Millisecond
+		callerRequest := streamRequest("chat")
+		callerRequest.disconnectAfter = 300 * time.Millisecond
 		started := time.Now()
-		harness.query(clientRequest)
+		harness.query(callerRequest)
 		assert.Assert(t, (<-cancelledAt).Sub(started) < 800*time.Millisecond)
 	})
 }
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -11,7 +11,7 @@
 func TestPlannedStopDrains(t *testing.T) {
 	servers := map[string]backend{"one": streamEvents(60, 0), "two": streamEvents(60, 0)}
 	withHarness(t, servers, servers, func(harness *harness) {
-		response := make(chan clientResponse, 1)
+		response := make(chan callerResponse, 1)
 		go func() { response <- harness.query(streamRequest("chat")) }()
 		time.Sleep(500 * time.Millisecond)
 		harness.beginShutdown()
@@ -31,7 +31,7 @@
 func TestDrainingVMRefusesLateRequests(t *testing.T) {
 	servers := map[string]backend{"one": streamEvents(60, 0)}
 	withHarness(t, servers, servers, func(harness *harness) {
-		earlier := make(chan clientResponse, 1)
+		earlier := make(chan callerResponse, 1)
 		time.Sleep(time.Second)
 		harness.beginShutdown()
 		time.Sleep(2500 * time.Millisecond)
--- a/internal/gateway/evacuate_test.go
+++ b/internal/gateway/evacuate_test.go
@@ -172,8 +172,8 @@
 			fleet.evacuate(dataCentreOf(2*index, dataCentres), true)
 		}
 		time.Sleep(evacuationBound)
-		for _, clientRequest := range []clientRequest{plainRequest(http.MethodGet, "look"), plainRequest(http.MethodPost, "pay"), streamRequest("chat")} {
-			got := fleet.query(clientRequest)
+		for _, callerRequest := range []callerRequest{plainRequest(http.MethodGet, "look"), plainRequest(http.MethodPost, "pay"), streamRequest("chat")} {
+			got := fleet.query(callerRequest)
 			assert.Equal(t, got.status, http.StatusServiceUnavailable)
 			assert.Assert(t, got.duration < 50*time.Millisecond, "%s", got.duration)
 			assert.Assert(t, got.header.Get("Retry-After") != "")
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -265,15 +265,15 @@
 const headerVM = "X-Vm"
 
 // queryTaggedRoundRobin sends copies of a request to the VMs in turn, one per interval for a duration, each with headerVM.
-func (fleet *fleet) queryTaggedRoundRobin(clientRequest clientRequest, interval, duration time.Duration) {
-	var clients sync.WaitGroup
+func (fleet *fleet) queryTaggedRoundRobin(callerRequest callerRequest, interval, duration time.Duration) {
+	var callers sync.WaitGroup
 	for number := range int(duration / interval) {
-		attempt := clientRequest
+		attempt := callerRequest
 		attempt.vm = fleet.vms[number%len(fleet.vms)].address()
-		clients.Go(func() { fleet.query(attempt.with(headerVM, attempt.vm)) })
+		callers.Go(func() { fleet.query(attempt.with(headerVM, attempt.vm)) })
 		time.Sleep(interval)
 	}
-	clients.Wait()
+	callers.Wait()
 }
 
 // arrivalsFrom returns the times at which requests from a VM reached a server.
@@ -296,14 +296,14 @@
 
 // queryRetrying sends copies of a request to the VMs in turn, one per interval for a duration, and returns all responses. A
 // request that fails is retried once, at the next VM.
-func (fleet *fleet) queryRetrying(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
+func (fleet *fleet) queryRetrying(callerRequest callerRequest, interval, duration time.Duration) []callerResponse {
 	var mu sync.Mutex
-	var responses []clientResponse
-	var clients sync.WaitGroup
+	var responses []callerResponse
+	var callers sync.WaitGroup
 	for number := range int(duration / interval) {
-		clients.Go(func() {
+		callers.Go(func() {
 			for retry := range 2 {
-				attempt := clientRequest
+				attempt := callerRequest
 				attempt.vm = fleet.vms[(number+retry)%len(fleet.vms)].address()
 				got := fleet.query(attempt)
 				mu.Lock()
@@ -316,6 +316,6 @@
 		})
 		time.Sleep(interval)
 	}
-	clients.Wait()
+	callers.Wait()
 	return responses
 }
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -130,8 +130,7 @@
 	receivedEvent bool
 	// serverNotAtFault is true if the failure is not evidence against the server.
 	serverNotAtFault bool
-	// answer is a response of the server that is forwarded if no further attempt succeeds, or
-	// nil.
+	// response is the server's response that is forwarded if no further attempt succeeds, or nil.
 	answer *bufferedResponse
 }
 
@@ -146,7 +145,7 @@
 		if forwarder.gateway.quarantine.Remaining(forwarder.fingerprint) > 0 {
 			return forwarder.failureOutcome(ReasonCrashesServers)
 		}
-		plan, use, ok := forwarder.place(ctx)
+		plan, activeRequest, ok := forwarder.place(ctx)
 		if !ok && ctx.Err() == nil {
 			return forwarder.failureOutcome(forwarder.rejectionReason())
 		}
@@ -154,11 +153,11 @@
 			return forwarder.interruptedOutcome(ctx)
 		}
 		if forwarder.deliveries > 0 && !forwarder.mayRetry(budget) {
-			use.Finish()
+			activeRequest.Finish()
 			return forwarder.failureOutcome(ReasonServersRefused)
 		}
 		forwarder.planAttempts++
-		result := forwarder.attempt(ctx, plan, use)
+		result := forwarder.attempt(ctx, plan, activeRequest)
 		switch result.kind {
 		case resultNoMemory:
 			forwarder.gateway.logger.Info("engine memory reservation failed", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
@@ -298,9 +297,9 @@
 	if forwarder.responseStarted {
 		return outcome{status: http.StatusOK, reason: reason, mayHaveRun: true, responseWritten: true, truncated: true}
 	}
-	if answer := forwarder.lastResult.answer; answer != nil {
-		forwarder.writeBuffered(answer)
-		return outcome{status: answer.status, reason: reason, mayHaveRun: true, responseWritten: true}
+	if buffered := forwarder.lastResult.answer; buffered != nil {
+		forwarder.writeBuffered(buffered)
+		return outcome{status: buffered.status, reason: reason, mayHaveRun: true, responseWritten: true}
 	}
 	return failure(reason, forwarder.executions > 0, forwarder.retryDelay(reason))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 	// memory for responses that callers have not read yet.
 	bodyMemory     memoryLimit
 	responseMemory *responseBuffers
-	// stopping is true once the process was asked to stop.
+	// stopping is true once the process was signalled to stop.
 	stopping atomic.Bool
 	// refusing is true once a draining process refuses new requests.
 	refusing atomic.Bool
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutcomes checks the response that a client receives for each behaviour of the servers. Both servers of a service run
+// TestResponses checks the response that a caller receives for each behaviour of the servers. Both servers of a service run
 // the same script.
 func TestResponses(t *testing.T) {
 	tests := map[string]struct {
 		backend       backend
-		clientRequest clientRequest
+		callerRequest callerRequest
 		wantStatus    int
 		wantBody      string
 		// wantRuns is the number of times that servers must receive the request.
@@ -24,43 +24,43 @@
 		wantCut bool
 	}{
 		"plain response is forwarded": {
-			backend: responses(http.StatusOK, "found"), clientRequest: plainRequest(http.MethodPost, "pay"),
+			backend: responses(http.StatusOK, "found"), callerRequest: plainRequest(http.MethodPost, "pay"),
 			wantStatus: http.StatusOK, wantBody: "found", wantRuns: 1,
 		},
 		"client error is forwarded": {
-			backend: responses(http.StatusNotFound, "none"), clientRequest: plainRequest(http.MethodGet, "look"),
+			backend: responses(http.StatusNotFound, "none"), callerRequest: plainRequest(http.MethodGet, "look"),
 			wantStatus: http.StatusNotFound, wantBody: "none", wantRuns: 1,
 		},
 		"repeatable request is retried after a failure": {
 			backend:       firstThen(responses(http.StatusInternalServerError, "no"), responses(http.StatusOK, "yes")),
-			clientRequest: plainRequest(http.MethodGet, "look"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
+			callerRequest: plainRequest(http.MethodGet, "look"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
 		},
 		"failure of the last server is forwarded": {
-			backend: responses(http.StatusInternalServerError, "no"), clientRequest: plainRequest(http.MethodGet, "look"),
+			backend: responses(http.StatusInternalServerError, "no"), callerRequest: plainRequest(http.MethodGet, "look"),
 			wantStatus: http.StatusInternalServerError, wantBody: "no", wantRuns: 2,
 		},
 		"non-repeatable request is not retried after a failure": {
-			backend: responses(http.StatusInternalServerError, "no"), clientRequest: plainRequest(http.MethodPost, "pay"),
+			backend: responses(http.StatusInternalServerError, "no"), callerRequest: plainRequest(http.MethodPost, "pay"),
 			wantStatus: http.StatusInternalServerError, wantBody: "no", wantRuns: 1,
 		},
 		"non-repeatable request is not retried after a closed connection": {
-			backend: closeConnection(), clientRequest: plainRequest(http.MethodPost, "pay"),
+			backend: closeConnection(), callerRequest: plainRequest(http.MethodPost, "pay"),
 			wantStatus: http.StatusBadGateway, wantRuns: 1,
 		},
 		"non-repeatable request is retried after a server did not run it": {
 			backend:       firstThen(refuse(http.StatusServiceUnavailable), responses(http.StatusOK, "yes")),
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
 		},
 		"non-repeatable request is retried after another instance refused it": {
 			backend:       firstThen(refuse(http.StatusMisdirectedRequest), responses(http.StatusOK, "yes")),
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
 		},
 		"repeatable request is retried after a closed connection": {
-			backend: firstThen(closeConnection(), responses(http.StatusOK, "yes")), clientRequest: plainRequest(http.MethodGet, "look"),
+			backend: firstThen(closeConnection(), responses(http.StatusOK, "yes")), callerRequest: plainRequest(http.MethodGet, "look"),
 			wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
 		},
 		"repeatable request is retried after a timeout": {
-			backend: firstThen(hang(), responses(http.StatusOK, "yes")), clientRequest: plainRequest(http.MethodGet, "look"),
+			backend: firstThen(hang(), responses(http.StatusOK, "yes")), callerRequest: plainRequest(http.MethodGet, "look"),
 			wantStatus: http.StatusOK, wantBody: "yes", wantRuns: 2,
 		},
 		"success without Response-Seal is rejected": {
@@ -68,7 +68,7 @@
 				writer.Header().Set("Request-Id", request.Header.Get("Request-Id"))
 				_, _ = writer.Write([]byte("forged"))
 			},
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
 		},
 		"response to another request is rejected": {
 			backend: func(_ *harness, _ int, writer http.ResponseWriter, _ *http.Request) {
@@ -76,7 +76,7 @@
 				writer.Header().Set("Response-Seal", "x")
 				_, _ = writer.Write([]byte("of another"))
 			},
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusGatewayTimeout, wantRuns: 1,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusGatewayTimeout, wantRuns: 1,
 		},
 		"success with Content-Encoding is rejected": {
 			backend: func(_ *harness, _ int, writer http.ResponseWriter, request *http.Request) {
@@ -84,7 +84,7 @@
 				writer.Header().Set("Content-Encoding", "gzip")
 				_, _ = writer.Write([]byte("zipped"))
 			},
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
 		},
 		"truncated response is rejected": {
 			backend: func(_ *harness, _ int, writer http.ResponseWriter, request *http.Request) {
@@ -93,28 +93,28 @@
 				_, _ = writer.Write([]byte("part"))
 				panic(http.ErrAbortHandler)
 			},
-			clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
+			callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusBadGateway, wantRuns: 1,
 		},
 		"request times out after the timeout of the route": {
-			backend: hang(), clientRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusGatewayTimeout, wantRuns: 1,
+			backend: hang(), callerRequest: plainRequest(http.MethodPost, "pay"), wantStatus: http.StatusGatewayTimeout, wantRuns: 1,
 		},
 		"stream is forwarded": {
-			backend: streamEvents(5, 0), clientRequest: streamRequest("chat"), wantStatus: http.StatusOK, wantBody: completeStream(5), wantRuns: 1,
+			backend: streamEvents(5, 0), callerRequest: streamRequest("chat"), wantStatus: http.StatusOK, wantBody: completeStream(5), wantRuns: 1,
 		},
-		"stream starts after the Last-Event-Id of the client": {
-			backend: streamEvents(5, 0), clientRequest: streamRequest("chat").with("Last-Event-Id", "3"), wantStatus: http.StatusOK,
+		"stream starts after the Last-Event-Id of the caller": {
+			backend: streamEvents(5, 0), callerRequest: streamRequest("chat").with("Last-Event-Id", "3"), wantStatus: http.StatusOK,
 			wantBody: "id: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n", wantRuns: 1,
 		},
 		"interrupted stream resumes at another server": {
-			backend: firstThen(streamEvents(5, 2), streamEvents(5, 0)), clientRequest: streamRequest("chat"),
+			backend: firstThen(streamEvents(5, 2), streamEvents(5, 0)), callerRequest: streamRequest("chat"),
 			wantStatus: http.StatusOK, wantBody: completeStream(5), wantRuns: 2,
 		},
 		"stream interrupted twice ends with an error": {
-			backend: streamEvents(5, 2), clientRequest: streamRequest("chat"), wantStatus: http.StatusOK,
+			backend: streamEvents(5, 2), callerRequest: streamRequest("chat"), wantStatus: http.StatusOK,
 			wantBody: completeStream(2), wantCut: true, wantRuns: 2,
 		},
 		"interrupted non-resumable stream ends with an error": {
-			backend: firstThen(streamEvents(5, 2), streamEvents(5, 0)), clientRequest: streamRequest("bill"),
+			backend: firstThen(streamEvents(5, 2), streamEvents(5, 0)), callerRequest: streamRequest("bill"),
 			wantStatus: http.StatusOK, wantBody: completeStream(2), wantCut: true, wantRuns: 1,
 		},
 		"stalled stream resumes at another server": {
@@ -124,7 +124,7 @@
 				_, _ = writer.Write([]byte("id: 1\ndata: piece 1\n\n"))
 				_ = http.NewResponseController(writer).Flush()
 				<-request.Context().Done()
-			}, streamEvents(5, 0)), clientRequest: streamRequest("chat"),
+			}, streamEvents(5, 0)), callerRequest: streamRequest("chat"),
 			wantStatus: http.StatusOK, wantBody: completeStream(5), wantRuns: 2,
 		},
 	}
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			servers := map[string]backend{"one": test.backend, "two": test.backend}
 			withHarness(t, servers, servers, func(harness *harness) {
-				got := harness.query(test.clientRequest)
+				got := harness.query(test.callerRequest)
 				assert.Equal(t, got.status, test.wantStatus, got.body)
 				if test.wantBody != "" {
 					assert.Equal(t, got.body, test.wantBody)
@@ -147,25 +147,25 @@
 // TestInvalidRequestsReachNoServer has requests that the gateway must refuse before any server receives them.
 func TestInvalidRequestsReachNoServer(t *testing.T) {
 	tests := map[string]struct {
-		clientRequest clientRequest
+		callerRequest callerRequest
 		wantStatus    int
 	}{
-		"unknown path":                {clientRequest: plainRequest(http.MethodGet, "none"), wantStatus: http.StatusNotFound},
-		"unknown host":                {clientRequest: plainRequest(http.MethodGet, "look").with("Host", "other.example"), wantStatus: http.StatusNotFound},
-		"no API key":                  {clientRequest: plainRequest(http.MethodGet, "look").with("Authorization", ""), wantStatus: http.StatusUnauthorized},
-		"unknown API key":             {clientRequest: plainRequest(http.MethodGet, "look").with("Authorization", "Bearer x"), wantStatus: http.StatusUnauthorized},
-		"no request ID":               {clientRequest: plainRequest(http.MethodGet, "look").with("Request-Id", ""), wantStatus: http.StatusBadRequest},
-		"deadline is not a number":    {clientRequest: plainRequest(http.MethodGet, "look").with("Deadline-Ms", "soon"), wantStatus: http.StatusBadRequest},
-		"token counts are not a pair": {clientRequest: streamRequest("chat").with("Token-Counts", "12"), wantStatus: http.StatusBadRequest},
-		"negative token count":        {clientRequest: streamRequest("chat").with("Token-Counts", "-1,3"), wantStatus: http.StatusBadRequest},
-		"body exceeds the limit":      {clientRequest: clientRequest{method: http.MethodPost, path: "/pay/x", body: string(make([]byte, 65_537))}, wantStatus: http.StatusRequestEntityTooLarge},
-		"header exceeds the limit":    {clientRequest: plainRequest(http.MethodGet, "look").with("X-Long", string(longHeaderValue())), wantStatus: http.StatusRequestHeaderFieldsTooLarge},
+		"unknown path":                {callerRequest: plainRequest(http.MethodGet, "none"), wantStatus: http.StatusNotFound},
+		"unknown host":                {callerRequest: plainRequest(http.MethodGet, "look").with("Host", "other.example"), wantStatus: http.StatusNotFound},
+		"no API key":                  {callerRequest: plainRequest(http.MethodGet, "look").with("Authorization", ""), wantStatus: http.StatusUnauthorized},
+		"unknown API key":             {callerRequest: plainRequest(http.MethodGet, "look").with("Authorization", "Bearer x"), wantStatus: http.StatusUnauthorized},
+		"no request ID":               {callerRequest: plainRequest(http.MethodGet, "look").with("Request-Id", ""), wantStatus: http.StatusBadRequest},
+		"deadline is not a number":    {callerRequest: plainRequest(http.MethodGet, "look").with("Deadline-Ms", "soon"), wantStatus: http.StatusBadRequest},
+		"token counts are not a pair": {callerRequest: streamRequest("chat").with("Token-Counts", "12"), wantStatus: http.StatusBadRequest},
+		"negative token count":        {callerRequest: streamRequest("chat").with("Token-Counts", "-1,3"), wantStatus: http.StatusBadRequest},
+		"body exceeds the limit":      {callerRequest: callerRequest{method: http.MethodPost, path: "/pay/x", body: string(make([]byte, 65_537))}, wantStatus: http.StatusRequestEntityTooLarge},
+		"header exceeds the limit":    {callerRequest: plainRequest(http.MethodGet, "look").with("X-Long", string(longHeaderValue())), wantStatus: http.StatusRequestHeaderFieldsTooLarge},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			servers := map[string]backend{"one": responses(http.StatusOK, "run")}
 			withHarness(t, servers, servers, func(harness *harness) {
-				assert.Equal(t, harness.query(test.clientRequest).status, test.wantStatus)
+				assert.Equal(t, harness.query(test.callerRequest).status, test.wantStatus)
 				assert.Equal(t, len(harness.requests()), 0)
 			})
 		})
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -79,7 +79,7 @@
 						}
 					}
 					startedAt := time.Now()
-					fleet.queryTaggedRoundRobin(normal.clientRequest, 8*time.Millisecond, limitNotice+2*limitWindow)
+					fleet.queryTaggedRoundRobin(normal.callerRequest, 8*time.Millisecond, limitNotice+2*limitWindow)
 					for _, server := range limited {
 						got := maxPerWindow(fleet.arrivals(server.id()), startedAt.Add(limitNotice))
 						assert.Check(t, got <= allowed(test.limit), "%d requests in %s, allowed %d", got, limitWindow, allowed(test.limit))
@@ -100,8 +100,8 @@
 					for _, server := range fleet.servers {
 						server.script = withLimit(1, normal.responses)
 					}
-					fleet.queryEvery(normal.clientRequest, 200*time.Millisecond, 3*time.Second)
-					responses := fleet.queryEvery(normal.clientRequest, 200*time.Millisecond, 6*time.Second)
+					fleet.queryEvery(normal.callerRequest, 200*time.Millisecond, 3*time.Second)
+					responses := fleet.queryEvery(normal.callerRequest, 200*time.Millisecond, 6*time.Second)
 					served := 0
 					for _, got := range responses {
 						if got.status == http.StatusOK {
--- a/internal/gateway/memory_test.go
+++ b/internal/gateway/memory_test.go
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// TestRequestBodiesStayWithinMemory has a hundred clients that send large bodies at the same time to slow servers. The VM
+// TestRequestBodiesStayWithinMemory has a hundred callers that send large bodies at the same time to slow servers. The VM
 // must buffer no more of them than its share of memory for bodies, and refuse the others before a server receives them.
 func TestRequestBodiesStayWithinMemory(t *testing.T) {
 	const maxBytes = 0.3 * smallMemoryBytes
@@ -50,16 +50,16 @@
 				large := plainRequest(http.MethodPost, "pay")
 				large.body = strings.Repeat("x", largeBodyBytes)
 				large.chunked = encoding != ""
-				var clients sync.WaitGroup
+				var callers sync.WaitGroup
 				statuses := make(chan int, 100)
 				for range cap(statuses) {
-					clients.Go(func() { statuses <- fleet.query(large).status })
+					callers.Go(func() { statuses <- fleet.query(large).status })
 				}
 				time.Sleep(time.Second)
 				sent := len(fleet.requests())
 				assert.Check(t, sent > 0 && float64(sent*largeBodyBytes) <= maxBytes, "%d bodies in flight", sent)
 				assert.Check(t, fleet.metric("mastwinch_body_bytes") <= maxBytes)
-				clients.Wait()
+				callers.Wait()
 				count := make(map[int]int)
 				for range cap(statuses) {
 					count[<-statuses]++
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestResponsesStayWithinMemory has a hundred clients that read large responses slowly. The VM must buffer no more of them
-// than its share of memory for responses and apply backpressure to the servers. All clients must receive their responses,
+// TestResponsesStayWithinMemory has a hundred callers that read large responses slowly. The VM must buffer no more of them
+// than its share of memory for responses and apply backpressure to the servers. All callers must receive their responses,
 // and short responses must not be delayed meanwhile.
 func TestResponsesStayWithinMemory(t *testing.T) {
 	const maxBytes = 0.2 * smallMemoryBytes
@@ -89,9 +89,9 @@
 		}
 		large, short := plainRequest(http.MethodGet, "open"), plainRequest(http.MethodGet, "open")
 		large.path += "large"
-		var clients sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 100 {
-			clients.Go(func() {
+			callers.Go(func() {
 				got := fleet.queryAndStall(large, 300*time.Millisecond)
 				assert.Check(t, got.complete && len(got.body) == largeBodyBytes, "%d, %d bytes", got.status, len(got.body))
 			})
@@ -103,7 +103,7 @@
 			got := fleet.query(short)
 			assert.Check(t, got.complete && got.duration < 200*time.Millisecond, "%d after %s", got.status, got.duration)
 		}
-		clients.Wait()
+		callers.Wait()
 		assert.Check(t, peak > 0 && peak <= maxBytes, "%v bytes buffered", peak)
 		assert.Equal(t, fleet.metric("mastwinch_answer_bytes"), 0.0)
 	})
--- a/internal/gateway/not_run_test.go
+++ b/internal/gateway/not_run_test.go
@@ -11,13 +11,13 @@
 )
 
 // TestNotRunStatusNeedsNotExecutedHeader has servers that run requests and respond with a status that means "not run" to
-// clients, but without the header Not-Executed. No client may receive such a status.
+// callers, but without the header Not-Executed. No caller may receive such a status.
 func TestNotRunStatusNeedsNotExecutedHeader(t *testing.T) {
 	notRunStatuses := []int{
 		http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable,
 	}
 	for _, status := range notRunStatuses {
-		for name, clientRequest := range map[string]clientRequest{
+		for name, callerRequest := range map[string]callerRequest{
 			"non-repeatable":       plainRequest(http.MethodPost, "pay"),
 			"repeatable":           plainRequest(http.MethodGet, "look"),
 			"resumable stream":     streamRequest("chat"),
@@ -28,7 +28,7 @@
 					for _, server := range fleet.servers {
 						server.script = responses(status, "it ran")
 					}
-					for _, response := range fleet.queryEvery(clientRequest, 50*time.Millisecond, 200*time.Millisecond) {
+					for _, response := range fleet.queryEvery(callerRequest, 50*time.Millisecond, 200*time.Millisecond) {
 						assert.Assert(t, !slices.Contains(notRunStatuses, response.status), "%d %s", response.status, response.body)
 					}
 				})
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -71,20 +71,20 @@
 }
 
 // queryEvery sends copies of a request, one per interval for a duration, and returns all responses.
-func (harness *harness) queryEvery(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
+func (harness *harness) queryEvery(callerRequest callerRequest, interval, duration time.Duration) []callerResponse {
 	var mu sync.Mutex
-	var responses []clientResponse
-	var clients sync.WaitGroup
+	var responses []callerResponse
+	var callers sync.WaitGroup
 	for range int(duration / interval) {
-		clients.Go(func() {
-			got := harness.query(clientRequest)
+		callers.Go(func() {
+			got := harness.query(callerRequest)
 			mu.Lock()
 			defer mu.Unlock()
 			responses = append(responses, got)
 		})
 		time.Sleep(interval)
 	}
-	clients.Wait()
+	callers.Wait()
 	return responses
 }
 
@@ -106,17 +106,17 @@
 	fine := responses(http.StatusOK, "fine")
 	open := plainRequest(http.MethodGet, "open").with("Authorization", "")
 	for name, test := range map[string]struct {
-		clientRequest clientRequest
+		callerRequest callerRequest
 		draining      backend
 		// storeDown makes the store fail all calls.
 		storeDown bool
 	}{
-		"success while the store is unreachable": {clientRequest: open, draining: fine, storeDown: true},
-		"success":                                {clientRequest: plainRequest(http.MethodGet, "look"), draining: fine},
-		"stream":                                 {clientRequest: streamRequest("chat"), draining: streamEvents(3, 0)},
-		"failure":                                {clientRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusInternalServerError, "failed")},
-		"not found":                              {clientRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusNotFound, "none")},
-		"refused":                                {clientRequest: plainRequest(http.MethodPost, "pay"), draining: refuse(http.StatusServiceUnavailable)},
+		"success while the store is unreachable": {callerRequest: open, draining: fine, storeDown: true},
+		"success":                                {callerRequest: plainRequest(http.MethodGet, "look"), draining: fine},
+		"stream":                                 {callerRequest: streamRequest("chat"), draining: streamEvents(3, 0)},
+		"failure":                                {callerRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusInternalServerError, "failed")},
+		"not found":                              {callerRequest: plainRequest(http.MethodPost, "pay"), draining: responses(http.StatusNotFound, "none")},
+		"refused":                                {callerRequest: plainRequest(http.MethodPost, "pay"), draining: refuse(http.StatusServiceUnavailable)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engines := map[string]backend{"one": draining(test.draining), "two": streamEvents(3, 0)}
@@ -125,7 +125,7 @@
 				if test.storeDown {
 					harness.store.SetFault(metastore.FaultBusy)
 				}
-				harness.queryEvery(test.clientRequest, 50*time.Millisecond, 2*drainTime)
+				harness.queryEvery(test.callerRequest, 50*time.Millisecond, 2*drainTime)
 				for _, id := range []string{"engines-one", "plain-one"} {
 					arrivals := harness.arrivals(id)
 					for _, at := range arrivals {
@@ -145,18 +145,18 @@
 	fine := withLatency(100*time.Millisecond, responses(http.StatusOK, "fine"))
 	failing := responses(http.StatusInternalServerError, "failed")
 	for name, test := range map[string]struct {
-		clientRequest clientRequest
+		callerRequest callerRequest
 		// begins handles two of three requests to the server that refuses the third; nil means that it refuses all.
 		begins backend
 		// otherServers has the other servers of the service.
 		otherServers map[string]backend
 	}{
-		"engine that completes other streams":    {clientRequest: streamRequest("chat"), begins: streamEvents(40, 0), otherServers: map[string]backend{"two": streamEvents(40, 0)}},
-		"plain server that serves some requests": {clientRequest: plainRequest(http.MethodPost, "pay"), begins: fine, otherServers: map[string]backend{"two": fine}},
-		"all other engines fail":                 {clientRequest: streamRequest("chat"), otherServers: map[string]backend{"two": failing}},
-		"only engine":                            {clientRequest: streamRequest("chat")},
-		"only plain server":                      {clientRequest: plainRequest(http.MethodPost, "pay")},
-		"one of three plain servers":             {clientRequest: plainRequest(http.MethodPost, "pay"), otherServers: map[string]backend{"two": fine, "three": fine}},
+		"engine that completes other streams":    {callerRequest: streamRequest("chat"), begins: streamEvents(40, 0), otherServers: map[string]backend{"two": streamEvents(40, 0)}},
+		"plain server that serves some requests": {callerRequest: plainRequest(http.MethodPost, "pay"), begins: fine, otherServers: map[string]backend{"two": fine}},
+		"all other engines fail":                 {callerRequest: streamRequest("chat"), otherServers: map[string]backend{"two": failing}},
+		"only engine":                            {callerRequest: streamRequest("chat")},
+		"only plain server":                      {callerRequest: plainRequest(http.MethodPost, "pay")},
+		"one of three plain servers":             {callerRequest: plainRequest(http.MethodPost, "pay"), otherServers: map[string]backend{"two": fine, "three": fine}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var refusedAt []time.Time
@@ -167,7 +167,7 @@
 			servers := map[string]backend{"one": refusing}
 			maps.Copy(servers, test.otherServers)
 			withHarness(t, servers, servers, func(harness *harness) {
-				harness.queryEvery(test.clientRequest, 40*time.Millisecond, 3*backoffTime)
+				harness.queryEvery(test.callerRequest, 40*time.Millisecond, 3*backoffTime)
 				assert.Assert(t, len(refusedAt) > 0)
 				for _, id := range []string{"engines-one", "plain-one"} {
 					assertBackoff(t, refusedAt, harness.arrivals(id))
@@ -194,15 +194,15 @@
 // TestRefusalCarriesBackoffOfServer has a service whose only server has reported a Retry-After. Until then requests must be
 // refused at once, and the Retry-After of the refusals must not end before that of the server.
 func TestRefusalCarriesBackoffOfServer(t *testing.T) {
-	for name, clientRequest := range map[string]clientRequest{
+	for name, callerRequest := range map[string]callerRequest{
 		"engine": streamRequest("chat"), "plain server": plainRequest(http.MethodPost, "pay"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			servers := map[string]backend{"one": refuseWithRetryAfter()}
 			withHarness(t, servers, servers, func(harness *harness) {
 				startedAt := time.Now()
-				harness.query(clientRequest)
-				for _, got := range harness.queryEvery(clientRequest, 100*time.Millisecond, backoffTime/2) {
+				harness.query(callerRequest)
+				for _, got := range harness.queryEvery(callerRequest, 100*time.Millisecond, backoffTime/2) {
 					assert.Equal(t, got.status, http.StatusServiceUnavailable)
 					assert.Assert(t, got.duration < 20*time.Millisecond, "%s", got.duration)
 					assert.Assert(t, strings.Contains(got.body, `"not_run":true`), got.body)
@@ -219,15 +219,15 @@
 
 // normal returns a request and a backend without faults for each service, by the name of the case.
 func normal() map[string]struct {
-	clientRequest clientRequest
+	callerRequest callerRequest
 	responses     backend
 } {
 	return map[string]struct {
-		clientRequest clientRequest
+		callerRequest callerRequest
 		responses     backend
 	}{
-		"engines":       {clientRequest: streamRequest("chat"), responses: streamEvents(40, 0)},
-		"plain servers": {clientRequest: plainRequest(http.MethodGet, "look"), responses: withLatency(100*time.Millisecond, responses(http.StatusOK, "fine"))},
+		"engines":       {callerRequest: streamRequest("chat"), responses: streamEvents(40, 0)},
+		"plain servers": {callerRequest: plainRequest(http.MethodGet, "look"), responses: withLatency(100*time.Millisecond, responses(http.StatusOK, "fine"))},
 	}
 }
 
@@ -241,7 +241,7 @@
 				for _, server := range drainingServers {
 					server.script = draining(test.responses)
 				}
-				fleet.queryTaggedRoundRobin(test.clientRequest, 8*time.Millisecond, 2*drainTime)
+				fleet.queryTaggedRoundRobin(test.callerRequest, 8*time.Millisecond, 2*drainTime)
 				fleet.forEachPair(drainingServers, func(vm *fleetVM, server *fleetServer) {
 					arrivals := fleet.arrivalsFrom(vm, server)
 					for _, at := range arrivals {
@@ -263,7 +263,7 @@
 				for _, server := range refusing {
 					server.script = everyThird(test.responses, fleet.recordRefusalsByVM(refusedAt, refuseWithRetryAfter()))
 				}
-				fleet.queryTaggedRoundRobin(test.clientRequest, 8*time.Millisecond, 3*backoffTime)
+				fleet.queryTaggedRoundRobin(test.callerRequest, 8*time.Millisecond, 3*backoffTime)
 				assert.Assert(fleet.t, len(refusedAt) > 0)
 				fleet.forEachPair(refusing, func(vm *fleetVM, server *fleetServer) {
 					assertBackoff(fleet.t, refusedAt[vm.address()+server.id()], fleet.arrivalsFrom(vm, server))
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -25,7 +25,7 @@
 
 var _ exchange.Sink = peerSink{}
 
-// Blind implements exchange.Sink. It reports whether the last read of any source failed.
+// StoreUnavailable implements exchange.Sink. It reports whether the last read of any source failed.
 func (peerSink peerSink) Blind() bool {
 	for _, tail := range peerSink.tails {
 		if tail.Lost() {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -13,7 +13,7 @@
 // first or the request is rejected.
 func (forwarder *forwarder) place(ctx context.Context) (placement.Plan, *pool.ActiveRequest, bool) {
 	startedAt := forwarder.gateway.now()
-	plan, use, placed := forwarder.placeByCoordinator(ctx)
+	plan, activeRequest, placed := forwarder.placeByCoordinator(ctx)
 	now := forwarder.gateway.now()
 	if !placed {
 		forwarder.timings.waited += now.Sub(startedAt)
@@ -23,7 +23,7 @@
 	}
 	forwarder.timings.place(now.Sub(startedAt), now.Sub(forwarder.arrivedAt), plan.PredictedTTFT)
 	forwarder.logPlan(plan, now.Sub(startedAt))
-	return plan, use, true
+	return plan, activeRequest, true
 }
 
 // placeLocally places the request by the state of this VM alone and claims capacity at the chosen
@@ -39,8 +39,8 @@
 	if !ok {
 		return placement.Plan{}, nil, false
 	}
-	use, claimed := gateway.pool.StartWithinLimits(plan, request)
-	return plan, use, claimed
+	activeRequest, claimed := gateway.pool.StartWithinLimits(plan, request)
+	return plan, activeRequest, claimed
 }
 
 // waitForCapacity waits until server capacity may have changed, at most for the interval of the
@@ -113,7 +113,7 @@
 }
 
 // Callers abandon a stream after the longest of these three times without an event, as the users
-// state it: a minimum, a multiple of the objective and a multiple of the inter-event objective.
+// state it: a minimum, a multiple of the objective and a multiple of the inter-token objective.
 const (
 	callerTimeoutMin        = 2 * time.Second
 	callerTimeoutObjectives = 4
@@ -121,16 +121,16 @@
 )
 
 // nextEventDeadline returns the deadline of the next event: the first event is due within the
-// objective, and each further one within the inter-event objective after the one before it. An
+// objective, and each further one within the inter-token objective after the one before it. An
 // interrupted stream therefore takes precedence over new requests while its next event can still be
-// in time, and yields to them afterwards. The objective of a tight request counts from its caller's
+// in time, and yields to them afterwards. The objective of a packable request counts from its caller's
 // first try. For other requests it counts from the current try: they are few, and with a lower
 // precedence they would get no servers until the next fault.
-func (forwarder *forwarder) nextEventDeadline(tight bool) time.Time {
+func (forwarder *forwarder) nextEventDeadline(packable bool) time.Time {
 	switch {
 	case !forwarder.timings.lastEventAt.IsZero():
 		return forwarder.timings.lastEventAt.Add(forwarder.route.Gap)
-	case tight:
+	case packable:
 		return forwarder.firstTriedAt.Add(forwarder.route.Objective)
 	default:
 		return forwarder.arrivedAt.Add(forwarder.route.Objective)
--- a/internal/gateway/random_faults_test.go
+++ b/internal/gateway/random_faults_test.go
@@ -78,7 +78,7 @@
 		case chance < 0.50:
 			truncated(harness, nth, writer, request)
 		case chance < 0.60:
-			request.Header.Del("Last-Event-Id") // it also sends the events that the client has received
+			request.Header.Del("Last-Event-Id") // it also sends the events that the caller has received
 			correct(harness, nth, writer, request)
 		default:
 			correct(harness, nth, writer, request)
@@ -114,7 +114,7 @@
 // runSeed sends the requests of one seed and checks their responses.
 func (oracle *oracle) runSeed(harness *harness, seed int) {
 	random := rand.New(rand.NewPCG(uint64(seed), 2))
-	requests := []clientRequest{plainRequest(http.MethodGet, "look"), plainRequest(http.MethodPost, "pay"), streamRequest("chat"), streamRequest("bill")}
+	requests := []callerRequest{plainRequest(http.MethodGet, "look"), plainRequest(http.MethodPost, "pay"), streamRequest("chat"), streamRequest("bill")}
 	faults := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultNoResponse, metastore.FaultReset}
 	fault := faults[random.IntN(len(faults))]
 	time.AfterFunc(randomTime/4, func() { harness.store.SetFault(fault) })
@@ -123,18 +123,18 @@
 	for index := range randomRequests {
 		route := random.IntN(len(requests))
 		id := fmt.Sprintf("random-%d-%d", seed, index)
-		clientRequest := requests[route].with("Request-Id", id)
+		callerRequest := requests[route].with("Request-Id", id)
 		start := time.Duration(random.Int64N(int64(randomTime)))
 		running.Go(func() {
 			time.Sleep(start)
-			oracle.check(harness, id, route, harness.query(clientRequest))
+			oracle.check(harness, id, route, harness.query(callerRequest))
 		})
 	}
 	running.Wait()
 }
 
 // check compares one response with the executions of its request.
-func (oracle *oracle) check(harness *harness, id string, route int, got clientResponse) {
+func (oracle *oracle) check(harness *harness, id string, route int, got callerResponse) {
 	t := harness.t
 	repeatable := route == 0 || route == 2
 	streamed := route >= 2
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -124,21 +124,21 @@
 }
 
 // assertRefused checks that all requests were refused at once, with the reason in the body.
-func assertRefused(t *testing.T, responses []clientResponse) {
+func assertRefused(t *testing.T, responses []callerResponse) {
 	t.Helper()
-	for _, clientResponse := range responses {
-		assert.Equal(t, clientResponse.status, http.StatusServiceUnavailable)
-		assert.Assert(t, clientResponse.duration < 100*time.Millisecond, "refused after %s", clientResponse.duration)
-		assert.Assert(t, strings.Contains(clientResponse.body, "region") || strings.Contains(clientResponse.body, "evacuated"), clientResponse.body)
+	for _, callerResponse := range responses {
+		assert.Equal(t, callerResponse.status, http.StatusServiceUnavailable)
+		assert.Assert(t, callerResponse.duration < 100*time.Millisecond, "refused after %s", callerResponse.duration)
+		assert.Assert(t, strings.Contains(callerResponse.body, "region") || strings.Contains(callerResponse.body, "evacuated"), callerResponse.body)
 	}
 }
 
 // assertServed checks that at least 98 % of the requests were served.
-func assertServed(t *testing.T, responses []clientResponse) {
+func assertServed(t *testing.T, responses []callerResponse) {
 	t.Helper()
 	served := 0
-	for _, clientResponse := range responses {
-		if clientResponse.status == http.StatusOK && clientResponse.complete {
+	for _, callerResponse := range responses {
+		if callerResponse.status == http.StatusOK && callerResponse.complete {
 			served++
 		}
 	}
--- a/internal/gateway/retries_test.go
+++ b/internal/gateway/retries_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func countServed(responses []clientResponse) int {
+func countServed(responses []callerResponse) int {
 	served := 0
 	for _, got := range responses {
 		if got.status == http.StatusOK {
@@ -115,16 +115,16 @@
 
 // queryRoundRobin sends copies of a request to the VMs in turn, one per interval for a duration, and returns the responses in
 // order of the requests.
-func (fleet *fleet) queryRoundRobin(clientRequest clientRequest, interval, duration time.Duration) []clientResponse {
-	responses := make([]clientResponse, int(duration/interval))
-	var clients sync.WaitGroup
+func (fleet *fleet) queryRoundRobin(callerRequest callerRequest, interval, duration time.Duration) []callerResponse {
+	responses := make([]callerResponse, int(duration/interval))
+	var callers sync.WaitGroup
 	for index := range responses {
-		attempt := clientRequest
+		attempt := callerRequest
 		attempt.vm = fleet.vms[index%len(fleet.vms)].address()
-		clients.Go(func() { responses[index] = fleet.query(attempt) })
+		callers.Go(func() { responses[index] = fleet.query(attempt) })
 		time.Sleep(interval)
 	}
-	clients.Wait()
+	callers.Wait()
 	return responses
 }
 
@@ -148,19 +148,19 @@
 					fleet.network.SetUnreachable(server.address, true)
 				}
 				before := len(fleet.retryTimes("engines")) + len(fleet.retryTimes("plain"))
-				var clients sync.WaitGroup
+				var callers sync.WaitGroup
 				for index := range 60 {
-					clientRequest := plainRequest(http.MethodGet, "open")
+					callerRequest := plainRequest(http.MethodGet, "open")
 					if index%2 == 0 {
-						clientRequest = streamRequest("chat")
+						callerRequest = streamRequest("chat")
 					}
-					clientRequest.vm = fleet.vms[index%len(fleet.vms)].address()
-					clients.Go(func() {
-						got := fleet.query(clientRequest)
+					callerRequest.vm = fleet.vms[index%len(fleet.vms)].address()
+					callers.Go(func() {
+						got := fleet.query(callerRequest)
 						assert.Check(t, got.status == http.StatusOK && got.complete, "%d %s", got.status, got.body)
 					})
 				}
-				clients.Wait()
+				callers.Wait()
 				assert.Equal(t, len(fleet.retryTimes("engines"))+len(fleet.retryTimes("plain")), before)
 			})
 		})
--- a/internal/gateway/returns_internal_test.go
+++ b/internal/gateway/returns_internal_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFirstAttemptOfClient checks the time of the first attempt that is estimated for the last client of a route with a
+// TestFirstAttemptOfCaller checks the time of the first attempt that is estimated for the last caller of a route with a
 // timeout of 10 s.
-func TestFirstAttemptOfClient(t *testing.T) {
+func TestFirstAttemptOfCaller(t *testing.T) {
 	const routeTimeout = 10 * time.Second
 	repeat := func(count int, timeLeft ...time.Duration) []time.Duration {
 		var all []time.Duration
@@ -20,17 +20,17 @@
 	}
 	for name, test := range map[string]struct {
 		timeLeft []time.Duration
-		// want is the time since the first attempt of the last client.
+		// want is the time since the first attempt of the last caller.
 		want time.Duration
 	}{
-		"first client":                             {timeLeft: []time.Duration{routeTimeout}},
-		"client that retries":                      {timeLeft: []time.Duration{routeTimeout, 9300 * time.Millisecond}, want: 700 * time.Millisecond},
-		"first client retries":                     {timeLeft: []time.Duration{9300 * time.Millisecond}, want: 700 * time.Millisecond},
-		"half of the clients retry":                {timeLeft: repeat(20, routeTimeout, 9*time.Second), want: time.Second},
-		"clients start with less than the timeout": {timeLeft: repeat(20, 5*time.Second)},
-		"clients start with less, one retries":     {timeLeft: append(repeat(20, 5*time.Second), 4*time.Second), want: time.Second},
-		"clients start with various times":         {timeLeft: repeat(10, routeTimeout, 5*time.Second, 3*time.Second)},
-		"clients start with more, one retries":     {timeLeft: append(repeat(3, 12*time.Second), 11*time.Second), want: time.Second},
+		"first caller":                             {timeLeft: []time.Duration{routeTimeout}},
+		"caller that retries":                      {timeLeft: []time.Duration{routeTimeout, 9300 * time.Millisecond}, want: 700 * time.Millisecond},
+		"first caller retries":                     {timeLeft: []time.Duration{9300 * time.Millisecond}, want: 700 * time.Millisecond},
+		"half of the callers retry":                {timeLeft: repeat(20, routeTimeout, 9*time.Second), want: time.Second},
+		"callers start with less than the timeout": {timeLeft: repeat(20, 5*time.Second)},
+		"callers start with less, one retries":     {timeLeft: append(repeat(20, 5*time.Second), 4*time.Second), want: time.Second},
+		"callers start with various times":         {timeLeft: repeat(10, routeTimeout, 5*time.Second, 3*time.Second)},
+		"callers start with more, one retries":     {timeLeft: append(repeat(3, 12*time.Second), 11*time.Second), want: time.Second},
 		"a difference of 5 ms is no retry":         {timeLeft: append(repeat(20, routeTimeout), routeTimeout-5*time.Millisecond)},
 		"no time left":                             {timeLeft: []time.Duration{routeTimeout, routeTimeout, 0}, want: routeTimeout},
 	} {
--- a/internal/gateway/rollback_fleet_test.go
+++ b/internal/gateway/rollback_fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// rollBackRevocation revokes the API key of the clients, stops the store, and starts it again 0.3 s later from a copy without
+// rollBackRevocation revokes the API key of the callers, stops the store, and starts it again 0.3 s later from a copy without
 // the revocation. That is written again 1.8 s after the stop. It returns a given time after the stop.
 func (fleet *fleet) rollBackRevocation(delay time.Duration) {
 	snapshot := fleet.store.Snapshot()
@@ -49,9 +49,9 @@
 					fleet.rollBackRevocation(delay)
 					fleet.start(vm)
 				}
-				clientRequest := plainRequest(http.MethodGet, "look")
-				clientRequest.vm = vm.address()
-				for _, got := range fleet.queryEvery(clientRequest, 20*time.Millisecond, 4*time.Second) {
+				callerRequest := plainRequest(http.MethodGet, "look")
+				callerRequest.vm = vm.address()
+				for _, got := range fleet.queryEvery(callerRequest, 20*time.Millisecond, 4*time.Second) {
 					assert.Assert(fleet.t, got.status != http.StatusOK, "%s", got.headersAt)
 				}
 			})
--- a/internal/gateway/rollback_test.go
+++ b/internal/gateway/rollback_test.go
@@ -13,9 +13,9 @@
 // VM has read before must stay in force until the writers have written it again.
 func TestStoreRollback(t *testing.T) {
 	open := plainRequest(http.MethodGet, "open").with("Authorization", "")
-	assertAllServed := func(harness *harness, clientRequest clientRequest, duration time.Duration) {
+	assertAllServed := func(harness *harness, callerRequest callerRequest, duration time.Duration) {
 		harness.t.Helper()
-		for _, got := range harness.queryEvery(clientRequest, 50*time.Millisecond, duration) {
+		for _, got := range harness.queryEvery(callerRequest, 50*time.Millisecond, duration) {
 			assert.Equal(harness.t, got.status, http.StatusOK, got.body)
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// revokeKey removes the API key of the test clients from a configuration.
+// revokeKey removes the API key of the test callers from a configuration.
 func revokeKey(configuration map[string]any) {
 	configuration["tenants"] = []any{map[string]any{"name": "register", "api_keys": []string{"another"}}}
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -80,7 +80,7 @@
 	RetryAfterMax time.Duration `yaml:"retry_after_max" validate:"min=1ms,gtefield=RetryAfterMin"`
 	// StartupWait is how long after the start of the process requests wait for the first
 	// configuration, which arrives slightly late when many VMs start together. Without it, callers
-	// would be told to retry only after seconds.
+	// would be rejected with a retry time of seconds.
 	StartupWait time.Duration `yaml:"start_hold" validate:"min=0,max=5s"`
 	// StoreRetryMin and StoreRetryMax are the same bounds for a VM without a configuration. A VM
 	// that reaches the store has one shortly after its start, so the store is unreachable in this
@@ -104,8 +104,8 @@
 
 // streamTimeout returns after how long without an event a stream is abandoned, where pauses of up
 // to gap meet the objective.
-func (settings RequestSettings) streamTimeout(gap time.Duration) time.Duration {
-	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(gap)))
+func (settings RequestSettings) streamTimeout(interTokenObjective time.Duration) time.Duration {
+	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(interTokenObjective)))
 }
 
 // DrainSettings are the parameters of a planned stop.
--- a/internal/gateway/slow_client_test.go
+++ b/internal/gateway/slow_caller_test.go
@@ -12,34 +12,34 @@
 )
 
 // queryAndStall sends a request, reads nothing of the response for a time, and then reads and returns it.
-func (harness *harness) queryAndStall(clientRequest clientRequest, pause time.Duration) clientResponse {
+func (harness *harness) queryAndStall(callerRequest callerRequest, pause time.Duration) callerResponse {
 	conn, err := harness.network.Dial(harness.t.Context(), vmAddress)
 	assert.NilError(harness.t, err)
 	defer func() { _ = conn.Close() }()
 	message := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: register.example\r\nRequest-Id: slow\r\nDeadline-Ms: 10000\r\nAuthorization: Bearer %s\r\n",
-		clientRequest.method, clientRequest.path, testKey)
-	for name, value := range clientRequest.header {
+		callerRequest.method, callerRequest.path, testKey)
+	for name, value := range callerRequest.header {
 		message += fmt.Sprintf("%s: %s\r\n", name, value)
 	}
 	go func() {
-		_, _ = io.WriteString(conn, message+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(clientRequest.body), clientRequest.body))
+		_, _ = io.WriteString(conn, message+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(callerRequest.body), callerRequest.body))
 	}()
 	time.Sleep(pause)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return clientResponse{}
+		return callerResponse{}
 	}
 	body, err := io.ReadAll(response.Body)
-	return clientResponse{status: response.StatusCode, body: string(body), complete: err == nil}
+	return callerResponse{status: response.StatusCode, body: string(body), complete: err == nil}
 }
 
-// TestSlowClientIsNotServerFailure has a client that reads nothing for a time. The VM attributed the missing events to the
+// TestSlowCallerIsNotServerFailure has a caller that reads nothing for a time. The VM attributed the missing events to the
 // server and prefilled the prompt again at another one, which then counted as a second failure of a server.
-func TestSlowClientIsNotServerFailure(t *testing.T) {
+func TestSlowCallerIsNotServerFailure(t *testing.T) {
 	servers := map[string]backend{"one": streamEvents(80, 0), "two": streamEvents(80, 0)}
 	for name, test := range map[string]struct {
 		pause time.Duration
-		// complete reports whether the client receives the complete response: one that stalls longer than allowed is disconnected.
+		// complete reports whether the caller receives the complete response: one that stalls longer than allowed is disconnected.
 		complete bool
 	}{
 		"0.5 s":                    {pause: 500 * time.Millisecond, complete: true},
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestStalledResponseIsNotServerFailure has clients that read nothing for a time, so that the server closes their streams. That
+// TestStalledResponseIsNotServerFailure has callers that read nothing for a time, so that the server closes their streams. That
 // must neither eject the server nor quarantine the request.
 func TestStalledResponseIsNotServerFailure(t *testing.T) {
 	withHarness(t, map[string]backend{"one": streamEvents(80, 20)}, nil, func(harness *harness) {
