--- a/internal/exchange/assignment.go
+++ b/internal/exchange/assignment.go
@@ -7,64 +7,64 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-func encodeAsk(ask dispatch.AssignmentRequest) *wire.Ask {
+func encodeAsk(request dispatch.AssignmentRequest) *wire.Ask {
 	return &wire.Ask{
-		Id:           ask.ID,
-		Service:      ask.Service,
-		Tokens:       uint64(ask.Tokens), //nolint:gosec // not negative
-		MemoryTokens: uint64(ask.Memory), //nolint:gosec // not negative
-		GapMs:        milliseconds(ask.InterTokenObjective),
-		ObjectiveMs:  milliseconds(ask.Objective),
-		DueMs:        int32(ask.TimeToObjective.Milliseconds()),      //nolint:gosec // minutes at most
-		StaysMs:      int32(ask.TimeToCallerDeadline.Milliseconds()), //nolint:gosec // minutes at most
-		DataCentre:   ask.DataCentre,
-		Tried:        ask.Tried,
-		Withdrawn:    ask.Cancelled,
-		Again:        ask.Retry,
-		KeptTo:       ask.AllowedDataCentres,
-		Counted:      ask.Counted,
+		Id:           request.ID,
+		Service:      request.Service,
+		Tokens:       uint64(request.Tokens), //nolint:gosec // not negative
+		MemoryTokens: uint64(request.Memory), //nolint:gosec // not negative
+		GapMs:        milliseconds(request.InterTokenObjective),
+		ObjectiveMs:  milliseconds(request.Objective),
+		DueMs:        int32(request.TimeToObjective.Milliseconds()),      //nolint:gosec // minutes at most
+		StaysMs:      int32(request.TimeToCallerDeadline.Milliseconds()), //nolint:gosec // minutes at most
+		DataCentre:   request.DataCentre,
+		Tried:        request.Tried,
+		Withdrawn:    request.Cancelled,
+		Again:        request.Retry,
+		KeptTo:       request.AllowedDataCentres,
+		Counted:      request.Counted,
 	}
 }
 
-func decodeAsks(asks []*wire.Ask) []dispatch.AssignmentRequest {
-	list := make([]dispatch.AssignmentRequest, 0, len(asks))
-	for _, ask := range asks {
+func decodeAsks(requests []*wire.Ask) []dispatch.AssignmentRequest {
+	list := make([]dispatch.AssignmentRequest, 0, len(requests))
+	for _, request := range requests {
 		list = append(list, dispatch.AssignmentRequest{
-			ID:                   ask.GetId(),
-			Service:              ask.GetService(),
-			Tokens:               int(ask.GetTokens()),       //nolint:gosec // millions at most
-			Memory:               int(ask.GetMemoryTokens()), //nolint:gosec // millions at most
-			InterTokenObjective:  time.Duration(ask.GetGapMs()) * time.Millisecond,
-			Objective:            time.Duration(ask.GetObjectiveMs()) * time.Millisecond,
-			TimeToObjective:      time.Duration(ask.GetDueMs()) * time.Millisecond,
-			TimeToCallerDeadline: time.Duration(ask.GetStaysMs()) * time.Millisecond,
-			DataCentre:           ask.GetDataCentre(),
-			Tried:                ask.GetTried(),
-			Cancelled:            ask.GetWithdrawn(),
-			Retry:                ask.GetAgain(),
-			AllowedDataCentres:   ask.GetKeptTo(),
-			Counted:              ask.GetCounted(),
+			ID:                   request.GetId(),
+			Service:              request.GetService(),
+			Tokens:               int(request.GetTokens()),       //nolint:gosec // millions at most
+			Memory:               int(request.GetMemoryTokens()), //nolint:gosec // millions at most
+			InterTokenObjective:  time.Duration(request.GetGapMs()) * time.Millisecond,
+			Objective:            time.Duration(request.GetObjectiveMs()) * time.Millisecond,
+			TimeToObjective:      time.Duration(request.GetDueMs()) * time.Millisecond,
+			TimeToCallerDeadline: time.Duration(request.GetStaysMs()) * time.Millisecond,
+			DataCentre:           request.GetDataCentre(),
+			Tried:                request.GetTried(),
+			Cancelled:            request.GetWithdrawn(),
+			Retry:                request.GetAgain(),
+			AllowedDataCentres:   request.GetKeptTo(),
+			Counted:              request.GetCounted(),
 		})
 	}
 	return list
 }
 
-func encodeAnswer(answer dispatch.AssignmentResponse) *wire.Verdict {
-	shares := make([]uint64, 0, len(answer.MemoryShares))
-	for _, share := range answer.MemoryShares {
+func encodeAnswer(response dispatch.AssignmentResponse) *wire.Verdict {
+	shares := make([]uint64, 0, len(response.MemoryShares))
+	for _, share := range response.MemoryShares {
 		shares = append(shares, uint64(share)) //nolint:gosec // not negative
 	}
 	return &wire.Verdict{
-		Id:          answer.ID,
-		Decision:    wire.Decision(answer.Decision), //nolint:gosec // few values
-		Servers:     answer.Servers,
-		PartUs:      uint64(answer.PrefillPerServer.Microseconds()), //nolint:gosec // not negative
+		Id:          response.ID,
+		Decision:    wire.Decision(response.Decision), //nolint:gosec // few values
+		Servers:     response.Servers,
+		PartUs:      uint64(response.PrefillPerServer.Microseconds()), //nolint:gosec // not negative
 		Shares:      shares,
-		PredictedMs: milliseconds(answer.PredictedTTFT),
-		Tight:       answer.Packable,
-		Limited:     answer.RateLimited,
-		ReturnMs:    milliseconds(answer.RetryAfter),
-		Reason:      answer.Reason,
+		PredictedMs: milliseconds(response.PredictedTTFT),
+		Tight:       response.Packable,
+		Limited:     response.RateLimited,
+		ReturnMs:    milliseconds(response.RetryAfter),
+		Reason:      response.Reason,
 	}
 }
 
--- a/internal/exchange/assignment_internal_test.go
+++ b/internal/exchange/assignment_internal_test.go
@@ -21,12 +21,12 @@
 	return time.Duration(rapid.IntRange(minimum, minuteInMilliseconds).Draw(t, label)) * time.Millisecond
 }
 
-// TestAsksAndAnswersRoundTrip checks that random asks and answers are unchanged after they are encoded to a datagram and
-// decoded.
-func TestAsksAndAnswersRoundTrip(t *testing.T) {
+// TestAssignmentMessagesRoundTrip checks that random assignment requests and responses are unchanged after they are
+// encoded to a datagram and decoded.
+func TestAssignmentMessagesRoundTrip(t *testing.T) {
 	names := rapid.SliceOfN(rapid.StringMatching(`[a-z0-9-]{1,20}`), 0, maxServersPerRequest)
 	rapid.Check(t, func(t *rapid.T) {
-		ask := dispatch.AssignmentRequest{
+		request := dispatch.AssignmentRequest{
 			ID:                   rapid.Uint64().Draw(t, "id"),
 			Service:              rapid.StringMatching(`[a-z0-9]{0,12}`).Draw(t, "service"),
 			Tokens:               rapid.IntRange(0, 2_000_000).Draw(t, "tokens"),
@@ -42,7 +42,7 @@
 			Retry:                rapid.Bool().Draw(t, "again"),
 			Counted:              rapid.Bool().Draw(t, "counted"),
 		}
-		answer := dispatch.AssignmentResponse{
+		response := dispatch.AssignmentResponse{
 			ID:               rapid.Uint64().Draw(t, "answered"),
 			Decision:         dispatch.Decision(rapid.IntRange(0, 2).Draw(t, "decision")),
 			Servers:          names.Draw(t, "servers"),
@@ -55,33 +55,33 @@
 			Reason:           rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "reason"),
 		}
 		data, err := proto.Marshal(&wire.LoadUpdate{
-			Asks: []*wire.Ask{encodeAsk(ask)}, Verdicts: []*wire.Verdict{encodeAnswer(answer)},
+			Asks: []*wire.Ask{encodeAsk(request)}, Verdicts: []*wire.Verdict{encodeAnswer(response)},
 		})
 		assert.NilError(t, err)
 		assert.Assert(t, len(data) < maxDatagram)
 		update := &wire.LoadUpdate{}
 		assert.NilError(t, proto.Unmarshal(data, update))
-		gotAsk, gotAnswer := decodeAsks(update.GetAsks())[0], decodeAnswers(update.GetVerdicts())[0]
-		assert.Equal(t, len(gotAsk.Tried), len(ask.Tried))
-		assert.Equal(t, len(gotAnswer.Servers), len(answer.Servers))
-		assert.Equal(t, len(gotAnswer.MemoryShares), len(answer.MemoryShares))
-		for i := range ask.Tried {
-			assert.Equal(t, gotAsk.Tried[i], ask.Tried[i])
+		gotRequest, gotResponse := decodeAsks(update.GetAsks())[0], decodeAnswers(update.GetVerdicts())[0]
+		assert.Equal(t, len(gotRequest.Tried), len(request.Tried))
+		assert.Equal(t, len(gotResponse.Servers), len(response.Servers))
+		assert.Equal(t, len(gotResponse.MemoryShares), len(response.MemoryShares))
+		for i := range request.Tried {
+			assert.Equal(t, gotRequest.Tried[i], request.Tried[i])
 		}
-		assert.Equal(t, len(gotAsk.AllowedDataCentres), len(ask.AllowedDataCentres))
-		for i := range ask.AllowedDataCentres {
-			assert.Equal(t, gotAsk.AllowedDataCentres[i], ask.AllowedDataCentres[i])
+		assert.Equal(t, len(gotRequest.AllowedDataCentres), len(request.AllowedDataCentres))
+		for i := range request.AllowedDataCentres {
+			assert.Equal(t, gotRequest.AllowedDataCentres[i], request.AllowedDataCentres[i])
 		}
-		for i := range answer.Servers {
-			assert.Equal(t, gotAnswer.Servers[i], answer.Servers[i])
+		for i := range response.Servers {
+			assert.Equal(t, gotResponse.Servers[i], response.Servers[i])
 		}
-		for i := range answer.MemoryShares {
-			assert.Equal(t, gotAnswer.MemoryShares[i], answer.MemoryShares[i])
+		for i := range response.MemoryShares {
+			assert.Equal(t, gotResponse.MemoryShares[i], response.MemoryShares[i])
 		}
-		gotAsk.AllowedDataCentres = ask.AllowedDataCentres
-		gotAsk.Tried, gotAnswer.Servers, gotAnswer.MemoryShares = ask.Tried, answer.Servers, answer.MemoryShares
-		assert.DeepEqual(t, gotAsk, ask)
-		assert.DeepEqual(t, gotAnswer, answer)
+		gotRequest.AllowedDataCentres = request.AllowedDataCentres
+		gotRequest.Tried, gotResponse.Servers, gotResponse.MemoryShares = request.Tried, response.Servers, response.MemoryShares
+		assert.DeepEqual(t, gotRequest, request)
+		assert.DeepEqual(t, gotResponse, response)
 	})
 }
 
--- a/internal/exchange/bench_internal_test.go
+++ b/internal/exchange/bench_internal_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkAnnouncedCoordinators measures the summary that a coordinator includes in its answer to each ping.
+// BenchmarkAnnouncedCoordinators measures the summary that a coordinator includes in its response to each ping.
 func BenchmarkAnnouncedCoordinators(b *testing.B) {
 	self := Member{VM: "vm-0", Address: "10.0.0.1:7340", DataCentre: "dc-0", Capacity: 20}
 	exchange := New(DefaultSettings(), self, nil, nil, nil, epoch.New(time.Now), slog.New(slog.DiscardHandler), time.Now)
--- a/internal/exchange/coordinators.go
+++ b/internal/exchange/coordinators.go
@@ -41,7 +41,7 @@
 	return append(warm, cold...)
 }
 
-// ReportUnresponsive marks a VM that did not answer as unresponsive, until a datagram arrives from it.
+// ReportUnresponsive marks a VM that did not respond as unresponsive, until a datagram arrives from it.
 func (exchange *Exchange) ReportUnresponsive(vm string) {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -225,14 +225,14 @@
 }
 
 // readerCandidates returns the first live VMs of this data centre in the order of readers, including live ones that the
-// store doesn't answer, and the VMs before them that are down.
+// store doesn't respond to, and the VMs before them that are down.
 func (exchange *Exchange) readerCandidates() (readerCandidates, down []string) {
 	available, storeUnavailable := 0, 0
 	exchange.ensureRanking()
 	for _, vm := range exchange.readerRankings[exchange.self.DataCentre] {
 		switch {
 		case available == exchange.settings.Readers, storeUnavailable == 2*exchange.settings.Readers:
-			return readerCandidates, down // if the store answers none of so many candidates, it is down for all VMs
+			return readerCandidates, down // if the store responds to none of so many candidates, it is down for all VMs
 		case !exchange.isLive(vm):
 			down = append(down, vm)
 		default:
@@ -250,7 +250,7 @@
 // downSample limits VMs that are down to HelloCount of each data centre, and as many of the others in round-robin order.
 // The first of each data centre are included every time, since they are the first to return when all VMs start together.
 // The others are rotated because VMs that are gone for good stay in the registry. Any VM that is back names the
-// coordinators in its answer.
+// coordinators in its response.
 func (exchange *Exchange) downSample(down []string) []string {
 	counts := make(map[string]int)
 	var downSample, others []string
--- a/internal/exchange/coordinators_test.go
+++ b/internal/exchange/coordinators_test.go
@@ -231,7 +231,7 @@
 }
 
 // TestReadersWithoutStoreAreReplaced guards against VMs that each read the store themselves, with four calls a second,
-// because the store rejects the first three readers of their data centre. They must agree on a reader that it answers.
+// because the store rejects the first three readers of their data centre. They must agree on a reader that it responds to.
 func TestReadersWithoutStoreAreReplaced(t *testing.T) {
 	runInFleet(t, 36, func(t *testing.T, vms *vms, _ []*countingConn) {
 		never := func(string) bool { return false }
@@ -347,7 +347,7 @@
 }
 
 // TestResumedVMKeepsCoordinators guards against a VM that assigns requests by outdated reports right after a suspension.
-// It must keep its earlier coordinators, and become its own only when no peer answers within a short time.
+// It must keep its earlier coordinators, and become its own only when no peer responds within a short time.
 func TestResumedVMKeepsCoordinators(t *testing.T) {
 	for _, suspended := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 		for name, unreachable := range map[string]bool{"peers are live": false, "peers are unreachable": true} {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -38,15 +38,15 @@
 	HandleReports(vm string, reports []pool.Report)
 	// OwnReports returns all current reports of this VM, which each heartbeat repeats.
 	OwnReports() []pool.Report
-	// HandleRequests handles requests for servers that another VM sends to this coordinator.
-	HandleRequests(vm string, asks []dispatch.AssignmentRequest)
-	// HandleAnswers handles what another VM, a coordinator, decided for requests of this one.
-	HandleResponses(vm string, answers []dispatch.AssignmentResponse)
+	// HandleRequests handles assignment requests that another VM sends to this coordinator.
+	HandleRequests(vm string, requests []dispatch.AssignmentRequest)
+	// HandleResponses handles assignment responses that a coordinator sends to requests of this VM.
+	HandleResponses(vm string, responses []dispatch.AssignmentResponse)
 	// Quarantined returns the quarantined requests, which this VM sends to no server, the newest entries first.
 	Quarantined() []quarantine.Entry
 	// HandleQuarantined handles the quarantine entries of another VM.
 	HandleQuarantined(entries []quarantine.Entry)
-	// Blind reports whether the platform's store does not answer this VM. Datagrams carry it in the field of this name.
+	// StoreUnavailable reports whether the platform's store does not respond to this VM. Datagrams carry it in the field blind.
 	Blind() bool
 }
 
@@ -61,9 +61,9 @@
 	lastHello time.Time
 	// startedAt is since when it receives datagrams, by its own report, or zero if it has not reported that.
 	startedAt time.Time
-	// storeUnavailable reports whether the platform's store did not answer it, by its last report.
+	// storeUnavailable reports whether the platform's store did not respond to it, by its last report.
 	storeUnavailable bool
-	// unresponsive reports whether it failed to answer a request and has sent no datagram since.
+	// unresponsive reports whether it failed to respond to a request and has sent no datagram since.
 	unresponsive bool
 }
 
@@ -104,7 +104,7 @@
 	// report.
 	reportedLive   int
 	reportedLiveAt time.Time
-	// joined reports whether this VM can find the coordinators: it has read the registry, or a coordinator has answered.
+	// joined reports whether this VM can find the coordinators: it has read the registry, or a coordinator has responded.
 	joined bool
 	// joinedSignal is closed when joined becomes true.
 	joinedSignal chan struct{}
@@ -122,7 +122,7 @@
 
 // New returns an exchange that sends and receives datagrams on conn, which must be bound to the address of self. It
 // discovers the fleet through the VMs at the addresses of seeds, which may be down or gone, and through the registry if
-// none of them answers.
+// none of them responds.
 func New(
 	settings Settings, self Member, conn net.PacketConn, seeds []string, registry Registry,
 	epochs *epoch.Watch, logger *slog.Logger, now func() time.Time,
@@ -193,7 +193,7 @@
 	countedAt time.Time
 }
 
-// countCacheTTL is how long a cached count is used. The counts are part of heartbeat answers, of which there may be
+// countCacheTTL is how long a cached count is used. The counts are part of heartbeat responses, of which there may be
 // thousands a second.
 const countCacheTTL = 20 * time.Millisecond
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -74,7 +74,7 @@
 	mu       sync.Mutex
 	own      []pool.Report
 	received map[string][]pool.Report
-	// storeUnavailable reports whether the store does not answer the VM.
+	// storeUnavailable reports whether the store does not respond to the VM.
 	storeUnavailable bool
 	// entries holds the quarantined requests.
 	entries []quarantine.Entry
--- a/internal/exchange/quarantined.go
+++ b/internal/exchange/quarantined.go
@@ -18,7 +18,7 @@
 	maxOlderEntries  = 16
 )
 
-// Announce implements quarantine.Publisher. It sends the entries to all known VMs at once. Heartbeats and their answers
+// Announce implements quarantine.Publisher. It sends the entries to all known VMs at once. Heartbeats and the responses to them
 // repeat them, which makes up for lost datagrams.
 func (exchange *Exchange) Announce(entries []quarantine.Entry) {
 	update := exchange.update()
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// reply answers a ping or hello. A coordinator that returned or said hello receives all of this VM's reports at once,
+// reply responds to a ping or hello. A coordinator that returned or said hello receives all of this VM's reports at once,
 // since it may have restarted without them, even before PeerTimeout detected that it was down.
 func (exchange *Exchange) reply(update *wire.LoadUpdate, address net.Addr, returned bool, sink Sink) {
 	exchange.mu.Lock()
--- a/internal/exchange/registry.go
+++ b/internal/exchange/registry.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// joinThroughRegistry contacts the registered VMs, and registers this one if there are few or none of them answers.
+// joinThroughRegistry contacts the registered VMs, and registers this one if there are few or none of them responds.
 func (exchange *Exchange) joinThroughRegistry(ctx context.Context) error {
 	if exchange.self.FirstStart {
 		// All VMs read the registry now. The random delay lets most of them find VMs that registered before.
@@ -139,7 +139,7 @@
 	return false
 }
 
-// livePeerPollInterval is the time between checks whether a peer has answered.
+// livePeerPollInterval is the time between checks whether a peer has responded.
 const livePeerPollInterval = 10 * time.Millisecond
 
 func (exchange *Exchange) hasLivePeer() bool {
@@ -193,12 +193,12 @@
 	return exchange.joined && exchange.isBootstrapVM()
 }
 
-// peerAnswerTimeout is how long a VM waits for an answer of registered VMs before it registers itself, and how long after
-// a suspension the peers that were live before it count as live. Live peers answer within milliseconds.
+// peerResponseTimeout is how long a VM waits for a response of registered VMs before it registers itself, and how long after
+// a suspension the peers that were live before it count as live. Live peers respond within milliseconds.
 const peerAnswerTimeout = 150 * time.Millisecond
 
 // Resumed says hello to the peers after this VM was suspended for the given time. Peers that were live before count as
-// live for peerAnswerTimeout, so that they have time to answer. Otherwise this VM would become its own coordinator and
+// live for peerResponseTimeout, so that they have time to respond. Otherwise this VM would become its own coordinator and
 // assign requests by outdated reports.
 func (exchange *Exchange) Resumed(suspended time.Duration) {
 	exchange.mu.Lock()
--- a/internal/exchange/role.go
+++ b/internal/exchange/role.go
@@ -15,7 +15,7 @@
 
 // Role implements feed.Members. In each data centre with at least minimum known VMs, the live VM with the greatest link
 // capacity reads the store for the others; rendezvous hashing breaks ties. VMs for whose address avoid returns true, and
-// VMs that the store doesn't answer, are passed over. Until this VM has joined the fleet, the role is unsettled.
+// VMs that the store doesn't respond to, are passed over. Until this VM has joined the fleet, the role is unsettled.
 func (exchange *Exchange) Role(minimum int, avoid func(address string) bool) feed.Role {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
@@ -49,7 +49,7 @@
 	return role
 }
 
-// LivePeers implements feed.Members. It returns the addresses of at limit limit live VMs, those with the longest uptime
+// LivePeers implements feed.Members. It returns the addresses of at most limit live VMs, those with the longest uptime
 // first, and reports false while this VM has not joined or all of its peers are down.
 func (exchange *Exchange) LivePeers(limit int) ([]string, bool) {
 	exchange.mu.Lock()
--- a/internal/exchange/seeds.go
+++ b/internal/exchange/seeds.go
@@ -61,7 +61,7 @@
 }
 
 // bootstrapRemaining returns how much of BootstrapTime is left, zero or less when it is over or the fleet doesn't start
-// for the first time. Until then a peer's answer names few VMs, and a VM that took these for the whole fleet would read
+// for the first time. Until then a peer's response names few VMs, and a VM that took these for the whole fleet would read
 // the store itself.
 func (exchange *Exchange) bootstrapRemaining() time.Duration {
 	if !exchange.self.FirstStart {
@@ -95,7 +95,7 @@
 	}
 }
 
-// introductions returns the VMs that a VM of the given data centre must know, so that all VMs find the same coordinators
+// introductions returns the VMs that a VM of the given data centre must have as peers, so that all VMs find the same coordinators
 // when the current ones fail: the first live VMs of each data centre, and more of its own data centre, which may read the
 // store for it.
 func (exchange *Exchange) introductions(dataCentre string) []*wire.Peer {
@@ -135,7 +135,7 @@
 	return slices.DeleteFunc(slices.Clone(peers), excluded)
 }
 
-// refreshIntroductions says hello to one coordinator at intervals, so that it answers with current introductions. The
+// refreshIntroductions says hello to one coordinator at intervals, so that it responds with current introductions. The
 // intervals are short at first, since other VMs may be starting too.
 func (exchange *Exchange) refreshIntroductions(ctx context.Context) {
 	backoff := wait.NewBackoff(exchange.settings.HeartbeatInterval, 2*exchange.settings.RefreshInterval)
--- a/internal/exchange/send.go
+++ b/internal/exchange/send.go
@@ -13,7 +13,7 @@
 )
 
 // send sends reports to addresses, in as many datagrams as they need, and at least one. With hello, the datagrams request
-// an answer with introductions, and state the data centre and link capacity of this VM.
+// a response with introductions, and state the data centre and link capacity of this VM.
 func (exchange *Exchange) send(addresses []net.Addr, reports []pool.Report, hello bool) {
 	if len(addresses) == 0 {
 		return
@@ -44,7 +44,7 @@
 }
 
 // sendState sends a heartbeat: all reports and a selection of the quarantine entries of this VM. The first datagram
-// requests an answer.
+// requests a response.
 func (exchange *Exchange) sendState(addresses []net.Addr, reports []pool.Report, entries []quarantine.Entry) {
 	for index, update := range exchange.updates(reports) {
 		update.Ping = index == 0
@@ -69,22 +69,22 @@
 	return updates
 }
 
-// SendRequest sends a request for servers to another VM, a coordinator. It sends nothing if the VM is unknown.
-func (exchange *Exchange) SendRequest(vm string, ask dispatch.AssignmentRequest) {
+// SendRequest sends an assignment request to another VM, a coordinator. It sends nothing if the VM is unknown.
+func (exchange *Exchange) SendRequest(vm string, request dispatch.AssignmentRequest) {
 	update := exchange.update()
-	update.Asks = []*wire.Ask{encodeAsk(ask)}
+	update.Asks = []*wire.Ask{encodeAsk(request)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
 // SendResponse sends the decision on a request to the VM that the request came from. It sends nothing if the VM is unknown.
-func (exchange *Exchange) SendResponse(vm string, answer dispatch.AssignmentResponse) {
+func (exchange *Exchange) SendResponse(vm string, response dispatch.AssignmentResponse) {
 	update := exchange.update()
-	update.Verdicts = []*wire.Verdict{encodeAnswer(answer)}
+	update.Verdicts = []*wire.Verdict{encodeAnswer(response)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
-// pong answers a datagram with the coordinators and the quarantine entries. All VMs thus receive these from the
-// coordinators within one HeartbeatInterval, and again after a loss. The answer to a hello includes introductions.
+// pong responds to a datagram with the coordinators and the quarantine entries. All VMs thus receive these from the
+// coordinators within one HeartbeatInterval, and again after a loss. The response to a hello includes introductions.
 func (exchange *Exchange) pong(received *wire.LoadUpdate, address net.Addr, sink Sink) {
 	update := exchange.update()
 	update.UpMs = uint32(exchange.now().Sub(exchange.startedAt).Milliseconds()) //nolint:gosec // weeks at most
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -15,11 +15,11 @@
 	// Register is the backoff after the first failed call to the registry. It doubles with each failure up to RegisterMax.
 	Register    time.Duration `yaml:"register" validate:"min=10ms"`
 	RegisterMax time.Duration `yaml:"register_max" validate:"min=10ms,gtefield=Register"`
-	// SeedTimeout is how long a starting VM waits for an answer of a seed before it reads the registry. FirstSeedTimeout
+	// SeedTimeout is how long a starting VM waits for a response of a seed before it reads the registry. FirstSeedTimeout
 	// replaces it when the whole fleet starts for the first time, since the registry is empty then.
 	SeedTimeout      time.Duration `yaml:"seeds" validate:"min=0"`
 	FirstSeedTimeout time.Duration `yaml:"seeds_first" validate:"min=0"`
-	// BootstrapTime is how long after the first start of the fleet a VM may still be unknown to others. What a peer answers
+	// BootstrapTime is how long after the first start of the fleet a VM may still be unknown to others. A response of a peer
 	// before that names few VMs and doesn't count as complete.
 	BootstrapTime time.Duration `yaml:"gathering" validate:"min=0"`
 	// RegistrationInterval is the initial time between checks whether this VM must be in the registry.
@@ -38,10 +38,10 @@
 	// repeated once per HeartbeatInterval, so a coordinator that has just started has an incomplete view.
 	CoordinatorWarmUp time.Duration `yaml:"warm" validate:"min=0"`
 	// Readers is how many reader candidates of its own data centre a VM sends heartbeats to, counting only those that the
-	// store answers. They determine which VM reads the store for the data centre.
+	// store responds to. They determine which VM reads the store for the data centre.
 	Readers int `yaml:"readers" validate:"min=1"`
 	// HelloCount limits the heartbeats to VMs that are down but would be coordinators or readers if they were live: in each
-	// HeartbeatInterval, up to this many of each data centre and as many of the rest. An answer names the coordinators.
+	// HeartbeatInterval, up to this many of each data centre and as many others. A response names the coordinators.
 	HelloCount int `yaml:"greet" validate:"min=0"`
 }
 
