--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,5 +1,5 @@
-// Package backpressure holds the rate limits and backoffs that backend servers request of their
-// clients. It has no clock, lock or I/O: all times are arguments.
+// Package backpressure holds the rate limits and backoffs that backend servers request of the VMs
+// that send to them. It has no clock, lock or I/O: all times are arguments.
 //
 // A RateLimit applies to the requests of all VMs together, so the coordinator counts them. A
 // backoff applies to a single VM, so Backoffs are kept by VM. Both belong to one start of a server
--- a/internal/backpressure/rate_limit.go
+++ b/internal/backpressure/rate_limit.go
@@ -41,7 +41,7 @@
 )
 
 // RateLimit is a server's limit on the requests from all VMs together. It applies to one start of
-// the server. The zero value is no limit. RateLimits are values: methods that change one return the
+// the server. The zero value means no limit. A RateLimit is immutable: the With methods return a
 // changed copy.
 type RateLimit struct {
 	// perSecond is the last advertised limit, from zero to maxPerSecond.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
 // Package catalog indexes the operator's configuration for the gateway: routes, services,
-// organisations by key, and client limits. A catalog is immutable: each version of the
+// organisations by key, and caller limits. A catalog is immutable: each version of the
 // configuration has its own.
 package catalog
 
@@ -30,7 +30,7 @@
 }
 
 // New returns the catalog of a configuration. It keeps the configuration's slices, and sets
-// Service.ShortestGap in them.
+// Service.ShortestInterTokenObjective in them.
 func New(configuration Configuration) *Catalog {
 	catalog := &Catalog{
 		configuration: configuration,
@@ -65,7 +65,7 @@
 	return catalog.configuration.Version
 }
 
-// Limits returns the limits on client connections and requests.
+// Limits returns the limits on caller connections and requests.
 func (catalog *Catalog) Limits() Limits {
 	return catalog.configuration.Limits
 }
--- a/internal/catalog/organisation.go
+++ b/internal/catalog/organisation.go
@@ -12,7 +12,7 @@
 	Regions Regions
 }
 
-// Limits are the limits on clients.
+// Limits are the limits on callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -30,7 +30,8 @@
 	Timeout time.Duration
 	// Objective is the objective for the time to the response or, for a stream, to its first event.
 	Objective time.Duration
-	// Gap is the objective for the time between two events of a stream, or zero for none.
+	// InterTokenObjective is the longest time between two events of a stream that meets the
+	// objective, or zero for none.
 	Gap time.Duration
 	// Priority is the priority of the route's requests. Zero is the most urgent.
 	Priority int
@@ -73,7 +74,8 @@
 	return route.Targets[len(route.Targets)-1].Service
 }
 
-// shortestGap returns the smallest Gap of the routes to a service, or zero if none has one.
+// shortestInterTokenObjective returns the shortest InterTokenObjective of the routes to a service,
+// or zero if none has one.
 func shortestGap(routes []Route, service string) time.Duration {
 	var shortest time.Duration
 	for i := range routes {
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -10,8 +10,8 @@
 	// ColdPerSecond is the number of requests per second from all VMs together that one server
 	// accepts while it is cold, that is for some time after its start. Zero is no limit.
 	ColdPerSecond float64
-	// ShortestGap is the smallest Gap of the routes to the service, or zero if none has one. New
-	// sets it.
+	// ShortestInterTokenObjective is the shortest InterTokenObjective of the routes to the service,
+	// or zero if none has one. New sets it.
 	ShortestGap time.Duration
 	// Engine describes the service's model engines. It is nil for a service without engines.
 	Engine *Engine
--- a/internal/catalog/service_test.go
+++ b/internal/catalog/service_test.go
@@ -12,8 +12,8 @@
 // TestShortestGap guards against a wrong objective for a service whose routes have several targets,
 // several objectives or none, and against the objectives of other services.
 func TestShortestGap(t *testing.T) {
-	to := func(gap time.Duration, services ...string) catalog.Route {
-		route := catalog.Route{Gap: gap}
+	to := func(interTokenObjective time.Duration, services ...string) catalog.Route {
+		route := catalog.Route{Gap: interTokenObjective}
 		for _, service := range services {
 			route.Targets = append(route.Targets, catalog.Target{Service: service, Weight: 1})
 		}
--- a/internal/dispatch/assignmentrequest.go
+++ b/internal/dispatch/assignmentrequest.go
@@ -3,7 +3,7 @@
 import "time"
 
 // AssignmentRequest is sent by a VM to the coordinator to get backend servers assigned to one
-// client request. Durations count from the moment of sending, so that clocks of VMs need not agree.
+// caller's request. Durations count from the moment of sending, so that clocks of VMs need not agree.
 type AssignmentRequest struct {
 	// ID is unique to the VM.
 	ID      uint64
@@ -69,7 +69,7 @@
 	PredictedTTFT time.Duration
 	Packable      bool
 	// RateLimited reports that the first server advertised a request rate limit. The VM must report
-	// an answer of that server that advertises none.
+	// a response of that server that advertises none.
 	RateLimited bool
 	Reason      string
 	// RetryAfter is the delay after which the caller of a refused request may retry, or zero when
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -10,7 +10,7 @@
 	"github.com/mastwinch/mastwinch/internal/placement"
 )
 
-// TestBackedOffServersAreExcluded checks that a server that asked a VM to send nothing is not
+// TestBackedOffServersAreExcluded checks that a server in backoff for a VM is not
 // assigned to that VM's requests, whichever servers failed them, and still serves other VMs.
 func TestBackedOffServersAreExcluded(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/internal/dispatch/latethroughput_test.go
+++ b/internal/dispatch/latethroughput_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestLongPromptsAreNotRefused checks that the queue never refuses late long prompts without rate
-// limits. How long these are held is up to their VMs.
+// limits. Their VMs decide how long these are queued.
 func TestLongPromptsAreNotRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	servers := &stub{}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -20,7 +20,7 @@
 type Servers interface {
 	// Eligible returns the servers of a service that may get requests.
 	Eligible(service string) []placement.Server
-	// BackoffServers returns the IDs of the servers that asked a VM to send nothing for now.
+	// BackoffServers returns the IDs of the servers that are in backoff for a VM.
 	BackoffServers(vm string) []string
 	// AcceptedRate returns the combined rate limit, in requests a second over all VMs, of the servers
 	// that the request may go to and that accept requests of its VM now. It reports whether all of
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -33,7 +33,7 @@
 // stub implements dispatch.Servers in memory.
 type stub struct {
 	servers []placement.Server
-	// backedOff lists, by VM, the servers that asked it to send nothing.
+	// backedOff lists, by VM, the servers that are in backoff for it.
 	backedOff map[string][]string
 	// perSecond is the rate limit of all servers together, or zero for none.
 	perSecond float64
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -14,7 +14,7 @@
 	ID uint64
 }
 
-// Request is a client request that needs servers.
+// Request is a caller's request that needs servers.
 type Request struct {
 	Key
 
--- a/internal/placement/packable.go
+++ b/internal/placement/packable.go
@@ -122,9 +122,9 @@
 }
 
 // packedCount returns how many of the servers, in their order, are set apart for packable requests:
-// as many as the running ones fill to PackSlots, and KeepSpare more. While long prompts are queued
-// or being prefilled, servers are left to them, down to as many as packable requests fill to
-// PackDense.
+// as many as the running ones fill to PackSlots, and SparePackedServers more. While long prompts
+// are queued or being prefilled, servers are left to them, down to as many as packable requests
+// fill to PackDense.
 func (lengthaware LengthAware) packedCount(servers []Server, request Request) int {
 	settings := lengthaware.settings
 	sparse := filledCount(servers, settings.PackSlots) + settings.KeepSpare
--- a/internal/placement/packable_test.go
+++ b/internal/placement/packable_test.go
@@ -60,7 +60,7 @@
 	settings.MaxParts = 1
 	_, ok := placement.New(settings).Place(servers, request)
 	assert.Assert(t, ok, "the value of the request exceeds the cost to the stream")
-	streamTimeout := func(gap time.Duration) time.Duration { return 4 * gap }
+	streamTimeout := func(interTokenObjective time.Duration) time.Duration { return 4 * interTokenObjective }
 	_, ok = placement.New(settings.WithStreamTimeout(streamTimeout)).Place(servers, request)
 	assert.Assert(t, !ok)
 }
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -15,7 +15,7 @@
 // prompts of 150 k tokens, whose pass takes 44 ms longer for their context, parts came to within 30
 // ms of the inter-token objective, and 28 of 100 streams with an objective of 600 ms missed it.
 func TestPartLeavesTimeForContext(t *testing.T) {
-	const gap = 600 * time.Millisecond
+	const interTokenObjective = 600 * time.Millisecond
 	const context = 150_000
 	request := long(190_000)
 	request.Engine.StepsPerPass = 68
@@ -23,7 +23,7 @@
 	request.Engine.StepTimePerThousandTokens = 4310 * time.Nanosecond
 	for parts := 1; parts <= 8; parts++ {
 		servers := newServers(parts, func(_ int, server *placement.Server) {
-			server.Running, server.OtherWeight, server.OtherInterTokenObjective, server.MinInterTokenObjective = 3, 16, gap, gap
+			server.Running, server.OtherWeight, server.OtherInterTokenObjective, server.MinInterTokenObjective = 3, 16, interTokenObjective, interTokenObjective
 			server.MemoryFree = memoryTokens - context
 		})
 		servers = append(servers, newServers(1, func(_ int, server *placement.Server) { server.ID = "decode" })...)
@@ -33,7 +33,7 @@
 		}
 		pass := request.Engine.PassTime(3, context) + plan.PrefillPerServer
 		beside := len(plan.Helpers) > 0
-		assert.Assert(t, !beside || pass <= gap, "%d servers: a pass of %s", parts, pass)
+		assert.Assert(t, !beside || pass <= interTokenObjective, "%d servers: a pass of %s", parts, pass)
 	}
 }
 
--- a/internal/placement/request_test.go
+++ b/internal/placement/request_test.go
@@ -13,23 +13,23 @@
 // forward pass of its engines takes 67 ms when all slots decode short requests.
 func TestPackable(t *testing.T) {
 	for name, test := range map[string]struct {
-		tokens        int
-		gap, shortest time.Duration
-		want          bool
+		tokens                        int
+		interTokenObjective, shortest time.Duration
+		want                          bool
 	}{
-		"short prompt, shortest objective":                                {tokens: 5000, gap: 250 * time.Millisecond, shortest: 250 * time.Millisecond, want: true},
-		"longest prompt of a short kind":                                  {tokens: 23_800, gap: 250 * time.Millisecond, shortest: 250 * time.Millisecond, want: true},
-		"short prompt, long objective":                                    {tokens: 5000, gap: time.Second, shortest: 250 * time.Millisecond, want: true},
-		"medium prompt, short objective of its own":                       {tokens: 41_000, gap: 330 * time.Millisecond, shortest: 200 * time.Millisecond},
-		"medium prompt that meets its own objective but not the shortest": {tokens: 35_000, gap: 700 * time.Millisecond, shortest: 130 * time.Millisecond},
-		"medium prompt, all objectives long":                              {tokens: 45_000, gap: time.Second, shortest: time.Second, want: true},
-		"long prompt, all objectives long":                                {tokens: 190_000, gap: time.Second, shortest: time.Second},
-		"shortest objective unknown":                                      {tokens: 45_000, gap: 300 * time.Millisecond},
+		"short prompt, shortest objective":                                {tokens: 5000, interTokenObjective: 250 * time.Millisecond, shortest: 250 * time.Millisecond, want: true},
+		"longest prompt of a short kind":                                  {tokens: 23_800, interTokenObjective: 250 * time.Millisecond, shortest: 250 * time.Millisecond, want: true},
+		"short prompt, long objective":                                    {tokens: 5000, interTokenObjective: time.Second, shortest: 250 * time.Millisecond, want: true},
+		"medium prompt, short objective of its own":                       {tokens: 41_000, interTokenObjective: 330 * time.Millisecond, shortest: 200 * time.Millisecond},
+		"medium prompt that meets its own objective but not the shortest": {tokens: 35_000, interTokenObjective: 700 * time.Millisecond, shortest: 130 * time.Millisecond},
+		"medium prompt, all objectives long":                              {tokens: 45_000, interTokenObjective: time.Second, shortest: time.Second, want: true},
+		"long prompt, all objectives long":                                {tokens: 190_000, interTokenObjective: time.Second, shortest: time.Second},
+		"shortest objective unknown":                                      {tokens: 45_000, interTokenObjective: 300 * time.Millisecond},
 		"no inter-token objective":                                        {tokens: 5000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := short()
-			request.Tokens, request.Memory, request.InterTokenObjective, request.ShortestInterTokenObjective = test.tokens, test.tokens+1500, test.gap, test.shortest
+			request.Tokens, request.Memory, request.InterTokenObjective, request.ShortestInterTokenObjective = test.tokens, test.tokens+1500, test.interTokenObjective, test.shortest
 			assert.Equal(t, request.Packable(), test.want)
 		})
 	}
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -9,69 +9,73 @@
 	// to long prompts.
 	PackSlots float64 `yaml:"pack_slots" validate:"min=0.1,max=1"`
 	// PackDense is the fraction used instead of PackSlots while long prompts need servers, which
-	// they would not find in a burst of short ones. One server is wanted for each LongTime of
-	// prefill that is queued or in progress.
+	// they would not find in a burst of short ones. One server is wanted for each
+	// LongPrefillPerServer of prefill that is queued or in progress.
 	PackDense float64       `yaml:"pack_dense" validate:"max=1,gtefield=PackSlots"`
 	LongTime  time.Duration `yaml:"long_time" validate:"min=10ms"`
-	// KeepSpare is the number of servers, beside the filled ones, that are set apart for packable
-	// requests. LeaveLong is the number of servers that are never set apart.
+	// SparePackedServers is the number of servers, beside the filled ones, that are set apart for
+	// packable requests. MinUnpackedServers is the number of servers that are never set apart.
 	KeepSpare int `yaml:"keep_spare" validate:"min=0"`
 	LeaveLong int `yaml:"leave_long" validate:"min=0"`
-	// NearPasses is the difference in prefill backlog up to which servers count as equally busy, as
-	// a multiple of a forward pass without prefill.
+	// NearlyEqualPasses is the difference in prefill backlog up to which servers count as equally
+	// busy, as a multiple of a forward pass without prefill.
 	NearPasses float64 `yaml:"near_passes" validate:"min=0.01"`
-	// NearRunning is the difference in running requests up to which servers count as equally busy.
+	// NearlyEqualRunning is the difference in running requests up to which servers count as equally
+	// busy.
 	NearRunning int `yaml:"near_running" validate:"min=0"`
-	// PassSpare is added to the predicted time of a forward pass. It allows for requests that other
-	// VMs have just sent, which are not known here yet.
+	// PassTimeMargin is added to the predicted time of a forward pass. It allows for requests that
+	// other VMs have just sent, which are not known here yet.
 	PassSpare time.Duration `yaml:"pass_spare" validate:"min=0"`
 	// MaxParts is the maximum number of servers that prefill one prompt.
 	MaxParts int `yaml:"max_parts" validate:"min=1,max=17"`
-	// PartPasses is the minimum prefill per server of a prompt split over several, as a multiple of
-	// a forward pass without prefill. Smaller parts shorten no pass, since a part waits for the
+	// MinPartPasses is the minimum prefill per server of a prompt split over several, as a multiple
+	// of a forward pass without prefill. Smaller parts shorten no pass, since a part waits for the
 	// next pass to begin.
 	PartPasses float64 `yaml:"part_passes" validate:"min=0.01"`
-	// Room is the maximum prefill backlog of a server that gets a part of another long prompt.
+	// MaxBacklog is the maximum prefill backlog of a server that gets a part of another long
+	// prompt.
 	Room time.Duration `yaml:"room" validate:"min=0"`
-	// LongRoom is the same limit for a server that is prefilling another long prompt. Parts on
-	// several servers are prefilled before the prompt on one, and late parts delay the others.
+	// MaxLongBacklog is the same limit for a server that is prefilling another long prompt. Parts
+	// on several servers are prefilled before the prompt on one, and late parts delay the others.
 	LongRoom time.Duration `yaml:"long_room" validate:"min=0"`
-	// TightLife is the typical duration of a packable request.
+	// PackableDuration is the typical duration of a packable request.
 	TightLife time.Duration `yaml:"tight_life" validate:"min=1ms"`
-	// TightHold is the maximum predicted time to first token with which a packable request is sent
-	// to a server where inter-token objectives will be missed.
+	// MaxPackableTTFT is the maximum predicted time to first token with which a packable request is
+	// sent to a server where inter-token objectives will be missed.
 	TightHold time.Duration `yaml:"tight_hold" validate:"min=0"`
-	// LatePart is the fraction of its value that a late request keeps.
+	// LateValueFraction is the fraction of its value that a late request keeps.
 	LatePart float64 `yaml:"late_part" validate:"min=0,max=1"`
-	// GoodGain is the minimum gain of a plan, as a fraction of the request's value, while the
-	// request can still meet its objective.
+	// MinGainFraction is the minimum gain of a plan, as a fraction of the request's value, while
+	// the request can still meet its objective.
 	GoodGain float64 `yaml:"good_gain" validate:"min=0,max=1"`
-	// AimPart is the fraction of the remaining time within which the predicted time to first token
-	// must lie to count as in time.
+	// InTimeFraction is the fraction of the remaining time within which the predicted time to first
+	// token must lie to count as in time.
 	AimPart float64 `yaml:"aim_part" validate:"min=0.1,max=1"`
-	// RiskPart is the fraction of the request's value that a plan loses when it takes all of the
-	// remaining time.
+	// RiskFraction is the fraction of the request's value that a plan loses when it takes all of
+	// the remaining time.
 	RiskPart float64 `yaml:"risk_part" validate:"min=0,max=1"`
-	// Patience is the maximum time past its objective for which a prompt is held, as a multiple of
-	// the objective.
+	// MaxLateObjectives is the maximum time past its objective for which a prompt stays queued, as
+	// a multiple of the objective.
 	Patience float64 `yaml:"patience" validate:"min=0"`
-	// StaySpare is the minimum time to the caller's deadline for a prompt to be held.
+	// MinTimeToCallerDeadline is the minimum time to the caller's deadline for a prompt to stay
+	// queued.
 	StaySpare time.Duration `yaml:"stay_spare" validate:"min=0"`
 
 	// streamTimeout returns, for an inter-token objective, the pause after which a stream times
 	// out. It is nil when streams never time out.
-	streamTimeout func(gap time.Duration) time.Duration
+	streamTimeout func(interTokenObjective time.Duration) time.Duration
 }
 
 // WithStreamTimeout returns the settings for streams that time out, and are retried at another
 // server, after the pause that streamTimeout returns for their inter-token objective. Nil means
 // that streams never time out.
-func (settings Settings) WithStreamTimeout(streamTimeout func(gap time.Duration) time.Duration) Settings {
+func (settings Settings) WithStreamTimeout(streamTimeout func(interTokenObjective time.Duration) time.Duration) Settings {
 	settings.streamTimeout = streamTimeout
 	return settings
 }
 
-// DefaultSettings returns the settings with the best results in docs/RESULTS.md.
+// DefaultSettings returns settings for engines that serve many short prompts beside a few long
+// ones.
 func DefaultSettings() Settings {
 	return Settings{
 		PackSlots:   0.8,
