--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 // Services returns a service of the active configuration by name, and whether it exists.
 type Services func(name string) (*catalog.Service, bool)
 
-// Coordinator requests servers for the client requests of its VM, and assigns servers to requests
+// Coordinator requests servers for the caller requests of its VM, and assigns servers to requests
 // of all VMs while this VM is the coordinator. It is safe for concurrent use.
 type Coordinator struct {
 	settings    Settings
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -69,7 +69,7 @@
 	return coordinator.recordAssignment(assignment, now)
 }
 
-// allowAttempt reports whether a client request may go to servers: the first attempt always may,
+// allowAttempt reports whether a caller's request may go to servers: the first attempt always may,
 // further ones are subject to the retry budget. The budget is kept here for all VMs, since with
 // many VMs the share of each one is less than one retry.
 func (coordinator *Coordinator) allowAttempt(assignmentRequest dispatch.AssignmentRequest) bool {
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -30,7 +30,7 @@
 type fleet struct {
 	t        *testing.T
 	network  *memnet.Network
-	register *fleetRegister
+	registry *fleetRegistry
 	service  *catalog.Service
 	random   *rand.Rand
 
@@ -43,10 +43,10 @@
 
 // result is the outcome of a request.
 type result struct {
-	arrived time.Time
-	took    time.Duration
-	served  bool
-	refused bool
+	arrived  time.Time
+	duration time.Duration
+	served   bool
+	refused  bool
 }
 
 // runFleet runs a test in virtual time with the given numbers of VMs and plain servers, after the
@@ -55,7 +55,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{
-			t: t, network: memnet.New(), register: &fleetRegister{members: make(map[string]exchange.Member)},
+			t: t, network: memnet.New(), registry: &fleetRegistry{members: make(map[string]exchange.Member)},
 			service: &catalog.Service{Name: plainName}, random: rand.New(rand.NewPCG(1, 2)),
 		}
 		for number := range servers {
@@ -97,7 +97,7 @@
 	self := exchange.Member{
 		VM: vm.name, Address: fleetAddress(number), DataCentre: []string{"north", "south", "west"}[number%3], Capacity: 100,
 	}
-	vm.exchange = exchange.New(exchange.DefaultSettings(), self, vm.conn, nil, fleet.register, epoch.New(time.Now), logger, time.Now)
+	vm.exchange = exchange.New(exchange.DefaultSettings(), self, vm.conn, nil, fleet.registry, epoch.New(time.Now), logger, time.Now)
 	vm.pool = pool.New(pool.DefaultSettings(), vm.name, vm.exchange, logger, time.Now)
 	entries := make([]follower.Change[directory.Entry], 0, len(fleet.servers))
 	for _, server := range fleet.servers {
--- a/internal/coordinator/fleetregistry_test.go
+++ b/internal/coordinator/fleetregistry_test.go
@@ -7,26 +7,26 @@
 	"github.com/mastwinch/mastwinch/internal/exchange"
 )
 
-// fleetRegister implements exchange.Registry in memory.
-type fleetRegister struct {
+// fleetRegistry implements exchange.Registry in memory.
+type fleetRegistry struct {
 	mu      sync.Mutex
 	members map[string]exchange.Member
 }
 
-var _ exchange.Registry = (*fleetRegister)(nil)
+var _ exchange.Registry = (*fleetRegistry)(nil)
 
-func (fleetregister *fleetRegister) Register(_ context.Context, member exchange.Member) error {
-	fleetregister.mu.Lock()
-	defer fleetregister.mu.Unlock()
-	fleetregister.members[member.VM] = member
+func (fleetregistry *fleetRegistry) Register(_ context.Context, member exchange.Member) error {
+	fleetregistry.mu.Lock()
+	defer fleetregistry.mu.Unlock()
+	fleetregistry.members[member.VM] = member
 	return nil
 }
 
-func (fleetregister *fleetRegister) List(context.Context) ([]exchange.Member, error) {
-	fleetregister.mu.Lock()
-	defer fleetregister.mu.Unlock()
-	list := make([]exchange.Member, 0, len(fleetregister.members))
-	for _, member := range fleetregister.members {
+func (fleetregistry *fleetRegistry) List(context.Context) ([]exchange.Member, error) {
+	fleetregistry.mu.Lock()
+	defer fleetregistry.mu.Unlock()
+	list := make([]exchange.Member, 0, len(fleetregistry.members))
+	for _, member := range fleetregistry.members {
 		list = append(list, member)
 	}
 	return list, nil
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -61,7 +61,7 @@
 // HandleQuarantined implements exchange.Sink.
 func (*fleetVM) HandleQuarantined([]quarantine.Entry) {}
 
-// Blind implements exchange.Sink.
+// StoreUnavailable implements exchange.Sink.
 func (*fleetVM) Blind() bool { return false }
 
 // Timeouts and network delay of a request to a plain server.
@@ -77,16 +77,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), plainDeadline)
 	defer cancel()
 	got := result{arrived: arrived}
-	server, use := vm.place(ctx, &got)
-	if use != nil {
-		vm.send(server, use)
+	server, activeRequest := vm.place(ctx, &got)
+	if activeRequest != nil {
+		vm.send(server, activeRequest)
 		got.served = true
 	}
-	got.took = time.Since(arrived)
+	got.duration = time.Since(arrived)
 	return got
 }
 
-// place returns the server that the request is assigned to, or a nil use if it gets none.
+// place returns the server that the request is assigned to, or a nil request if it gets none.
 func (vm *fleetVM) place(ctx context.Context, got *result) (string, *pool.ActiveRequest) {
 	arrived := got.arrived
 	for ctx.Err() == nil {
@@ -112,8 +112,8 @@
 		}
 		plan, found := vm.policy.Place(vm.pool.Eligible(vm.fleet.service, nil), placement.Request{DataCentre: "north", Objective: plainObjective})
 		if found && ctx.Err() == nil {
-			if use, within := vm.pool.StartWithinLimits(plan, placement.Request{}); within {
-				return plan.Server.ID, use
+			if activeRequest, within := vm.pool.StartWithinLimits(plan, placement.Request{}); within {
+				return plan.Server.ID, activeRequest
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -122,7 +122,7 @@
 }
 
 // send sends the request to a server, and passes the limit in the response to the pool.
-func (vm *fleetVM) send(id string, use *pool.ActiveRequest) {
+func (vm *fleetVM) send(id string, activeRequest *pool.ActiveRequest) {
 	sentAt := time.Now()
 	time.Sleep(plainNetwork)
 	var limit float64
@@ -138,5 +138,5 @@
 	} else {
 		vm.pool.RecordNoRateLimit(id, sentAt)
 	}
-	use.Finish()
+	activeRequest.Finish()
 }
--- a/internal/coordinator/flow_test.go
+++ b/internal/coordinator/flow_test.go
@@ -10,15 +10,15 @@
 
 // Kinds of requests of the users' large fleet, with the mean prompt lengths of its specification.
 func short() kind {
-	return kind{tokens: 5000, objective: 400 * time.Millisecond, gap: 250 * time.Millisecond, decodeTime: 1500 * time.Millisecond}
+	return kind{tokens: 5000, objective: 400 * time.Millisecond, interTokenObjective: 250 * time.Millisecond, decodeTime: 1500 * time.Millisecond}
 }
 
 func medium() kind {
-	return kind{tokens: 45_000, objective: 1500 * time.Millisecond, gap: 600 * time.Millisecond, decodeTime: time.Second}
+	return kind{tokens: 45_000, objective: 1500 * time.Millisecond, interTokenObjective: 600 * time.Millisecond, decodeTime: time.Second}
 }
 
 func long() kind {
-	return kind{tokens: 190_000, objective: 3 * time.Second, gap: time.Second, decodeTime: time.Second}
+	return kind{tokens: 190_000, objective: 3 * time.Second, interTokenObjective: time.Second, decodeTime: time.Second}
 }
 
 // flow is a stream of requests of one kind, at a constant rate, for a period of time.
--- a/internal/coordinator/limits_test.go
+++ b/internal/coordinator/limits_test.go
@@ -211,7 +211,7 @@
 				after := limited.within(ended.Add(limitGracePeriod+time.Second), ended.Add(limitGracePeriod+time.Second+limitWindow))
 				assert.Check(t, after >= 60, "%d after, its share is 80", after)
 				for _, got := range fleet.results {
-					assert.Check(t, got.served && got.took < plainObjective, "%+v", got)
+					assert.Check(t, got.served && got.duration < plainObjective, "%+v", got)
 				}
 			})
 		})
@@ -251,10 +251,10 @@
 	for _, got := range fleet.results {
 		switch {
 		case got.arrived.Before(since):
-		case got.served && got.took <= plainObjective:
+		case got.served && got.duration <= plainObjective:
 			inTime++
 		case !got.served:
-			slowest = max(slowest, got.took)
+			slowest = max(slowest, got.duration)
 		}
 	}
 	return inTime, slowest
--- a/internal/coordinator/plainserver_test.go
+++ b/internal/coordinator/plainserver_test.go
@@ -16,7 +16,7 @@
 	// advertiseEvery responses has it.
 	limit          float64
 	advertiseEvery int
-	answers        int
+	responses      int
 	// arrivals has the requests that reached the server.
 	arrivals []arrival
 	// advertisedAt has the time at which each VM first got a response with a limit.
@@ -44,8 +44,8 @@
 	time.Sleep(plainserver.serviceTime)
 	plainserver.mu.Lock()
 	defer plainserver.mu.Unlock()
-	plainserver.answers++
-	advertises := plainserver.limit >= 0 && plainserver.answers%max(1, plainserver.advertiseEvery) == 0
+	plainserver.responses++
+	advertises := plainserver.limit >= 0 && plainserver.responses%max(1, plainserver.advertiseEvery) == 0
 	if _, advertised := plainserver.advertisedAt[vm]; advertises && !advertised {
 		plainserver.advertisedAt[vm] = time.Now()
 	}
--- a/internal/coordinator/request.go
+++ b/internal/coordinator/request.go
@@ -11,7 +11,7 @@
 // those to repeated requests.
 const responseBuffer = 8
 
-// Place requests servers for a client request from the preferred coordinator until they are
+// Place requests servers for a caller's request from the preferred coordinator until they are
 // assigned or refused. It calls newRequest for each message, since durations in it count from the
 // time of sending. It reports false when there is no coordinator, when the coordinator has no such
 // service in its configuration, or when ctx is done. Then no coordinator holds an assignment for
@@ -110,7 +110,7 @@
 	coordinator.network.SendRequest(vm, request)
 }
 
-// cancel notifies a VM that the client request no longer needs servers. It does nothing if vm is
+// cancel notifies a VM that the caller's request no longer needs servers. It does nothing if vm is
 // empty.
 func (coordinator *Coordinator) cancel(vm string, id uint64) {
 	if vm != "" {
--- a/internal/coordinator/settings.go
+++ b/internal/coordinator/settings.go
@@ -6,31 +6,32 @@
 // over the queue.
 type Settings struct {
 	// AnswerMin and AnswerMax bound the response timeout, after which the request is repeated.
-	// Between them the timeout is AnswerTimes the average of recent response times, so that a VM
-	// whose own CPU is overloaded does not take the coordinator for unresponsive.
+	// Between them the timeout is ResponseTimeFactor times the average of recent response times, so
+	// that a VM whose own CPU is overloaded does not take the coordinator for unresponsive.
 	AnswerMin   time.Duration `yaml:"answer_min" validate:"min=1ms"`
 	AnswerMax   time.Duration `yaml:"answer_max" validate:"min=1ms,gtefield=AnswerMin"`
 	AnswerTimes float64       `yaml:"answer_times" validate:"min=1"`
-	// AnswerGain is the weight of one response in the moving average of response times.
+	// ResponseTimeWeight is the weight of one response in the moving average of response times.
 	AnswerGain float64 `yaml:"answer_gain" validate:"min=0.01,max=1"`
-	// Misses is the number of consecutive requests without a response after which another VM is
-	// used. With 2, a single datagram lost on a bad link (one in forty) does not cause a change.
+	// MaxMissedResponses is the number of consecutive requests without a response after which
+	// another VM is used. With 2, a single datagram lost on a bad link (one in forty) does not
+	// cause a change.
 	Misses int `yaml:"misses" validate:"min=1"`
-	// Renew is the interval at which a VM repeats a queued request. It detects by this that the
-	// coordinator is down.
+	// RepeatInterval is the interval at which a VM repeats a queued request. It detects by this
+	// that the coordinator is down.
 	Renew time.Duration `yaml:"renew" validate:"min=1ms"`
-	// Lapse is the time after which the coordinator drops a queued request that its VM does not
-	// repeat. It must be several times Renew.
+	// QueuedRequestTTL is the time after which the coordinator drops a queued request that its VM
+	// does not repeat. It must be several times RepeatInterval.
 	Lapse time.Duration `yaml:"lapse" validate:"min=1ms"`
-	// Remember is the time for which a decision is kept, to be sent again when the response was
+	// DecisionTTL is the time for which a decision is kept, to be sent again when the response was
 	// lost.
 	Remember time.Duration `yaml:"remember" validate:"min=1ms"`
-	// Look is the interval between passes over the queue while no server state changes, and Pause
-	// the minimum time between any two passes.
+	// DispatchInterval is the interval between passes over the queue while no server state changes,
+	// and MinDispatchInterval the minimum time between any two passes.
 	Look  time.Duration `yaml:"look" validate:"min=1ms"`
 	Pause time.Duration `yaml:"pause" validate:"min=0"`
-	// RestTimes is the pause after a pass over the queue, as a multiple of its duration. A value of
-	// 2 limits passes to a third of one core.
+	// DispatchPauseFactor is the pause after a pass over the queue, as a multiple of its duration.
+	// A value of 2 limits passes to a third of one core.
 	RestTimes float64 `yaml:"rest_times" validate:"min=0"`
 }
 
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/simulation_test.go
@@ -217,9 +217,9 @@
 
 // kind has the properties of a kind of request.
 type kind struct {
-	tokens    int
-	objective time.Duration
-	gap       time.Duration
+	tokens              int
+	objective           time.Duration
+	interTokenObjective time.Duration
 	// callerTimeout is how long the caller waits, or zero for the objective.
 	callerTimeout time.Duration
 	// decodeTime is the duration of the answer after its first event.
@@ -253,7 +253,7 @@
 	response, placed := testvm.coordinator.Place(ctx, id, func() dispatch.AssignmentRequest {
 		elapsed := time.Since(arrived)
 		return dispatch.AssignmentRequest{
-			ID: id, Service: serviceName, Tokens: kind.tokens, Memory: kind.tokens + 500, InterTokenObjective: kind.gap,
+			ID: id, Service: serviceName, Tokens: kind.tokens, Memory: kind.tokens + 500, InterTokenObjective: kind.interTokenObjective,
 			Objective: kind.objective, TimeToObjective: kind.objective - elapsed, TimeToCallerDeadline: cmp.Or(kind.callerTimeout, 4*kind.objective) - elapsed,
 		}
 	})
@@ -266,12 +266,12 @@
 	result.expectedTTFT = result.waited + response.PredictedTTFT
 	result.servers = response.Servers
 	servers, _ := testvm.pool.Find(serviceName, nil, response.Servers)
-	use := testvm.pool.StartWithID(id, placement.Plan{
+	activeRequest := testvm.pool.StartWithID(id, placement.Plan{
 		Server: servers[0], Helpers: servers[1:], PrefillPerServer: response.PrefillPerServer, MemoryShares: response.MemoryShares, Packable: response.Packable,
-	}, placement.Request{Engine: testvm.simulation.service.Engine, Memory: kind.tokens + 500, InterTokenObjective: kind.gap})
+	}, placement.Request{Engine: testvm.simulation.service.Engine, Memory: kind.tokens + 500, InterTokenObjective: kind.interTokenObjective})
 	time.Sleep(response.PredictedTTFT)
-	use.FinishPrefill()
+	activeRequest.FinishPrefill()
 	time.Sleep(kind.decodeTime)
-	use.Finish()
+	activeRequest.Finish()
 	return result
 }
--- a/internal/pool/active_request.go
+++ b/internal/pool/active_request.go
@@ -34,9 +34,10 @@
 	// Memory is the KV memory that the request uses there, in tokens. With HealthUnreportedMemory
 	// it is the memory in use that no VM has reported.
 	Memory int
-	// Gap is the objective for the time between two events, or zero for none.
+	// InterTokenObjective is the longest time between two events that meets the objective, or zero
+	// for none.
 	Gap time.Duration
-	// Tight is set for a request that counts as one with a short Gap.
+	// Packable is set for a short request, see placement.Request.Packable.
 	Tight bool
 	// PrefillOnly is set where the server only prefills a part of the prompt for another server.
 	PrefillOnly bool
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -17,8 +17,8 @@
 }
 
 // Assign records that a request of the given VM was assigned the servers of a plan, before that VM
-// reports it. Without a later report the attempts expire after Settings.RemoteTime, like those of
-// any other VM.
+// reports it. Without a later report the attempts expire after Settings.RemoteReportTTL, like those
+// of any other VM.
 func (pool *Pool) Assign(vm string, id uint64, plan placement.Plan, request placement.Request) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/pool/backoff.go
+++ b/internal/pool/backoff.go
@@ -6,7 +6,7 @@
 	"github.com/mastwinch/mastwinch/internal/catalog"
 )
 
-// BackOff records that a server asked this VM to send nothing for a duration, and publishes it. It
+// BackOff records that a server requested a backoff from this VM for a duration, and publishes it. It
 // is no failure, which a later successful response would clear.
 func (pool *Pool) BackOff(id string, duration time.Duration) {
 	pool.mu.Lock()
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -5,7 +5,7 @@
 	"github.com/mastwinch/mastwinch/internal/fingerprint"
 )
 
-// RecordSuccess records that a server answered a request successfully, and publishes it.
+// RecordSuccess records a successful response of a server, and publishes it.
 func (pool *Pool) RecordSuccess(id string, request fingerprint.Fingerprint) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -172,7 +172,7 @@
 			},
 			want: nil,
 		},
-		// A partitioned VM took a server that had been removed meanwhile for one whose entry had
+		// A partitioned VM mistook a server that had been removed meanwhile for one whose entry had
 		// expired, and used it for two seconds longer than allowed.
 		"one entry missing after the list source was unavailable": {
 			change: func(fixture *fixture) {
@@ -296,8 +296,8 @@
 	}
 }
 
-// TestOverdueFirstEventsCountAsBacklog guards against a server that looks idle by the known
-// requests while its memory is held by unknown ones, so that it prefills nothing and its first
+// TestOverdueFirstEventsCountAsBacklog guards against a server that seems idle by the known
+// requests while unknown ones use its memory, so that it prefills nothing and its first
 // events are overdue. All VMs then sent their requests to it.
 func TestOverdueFirstEventsCountAsBacklog(t *testing.T) {
 	tests := map[string]struct {
@@ -399,9 +399,9 @@
 	fixture := newFixture()
 	fixture.Replace(listedServers(1))
 	assert.Equal(t, fixture.server(t, "s1").PackableInterTokenObjective, time.Duration(0))
-	start := func(gap time.Duration, tight bool) {
-		plan := placement.Plan{Server: placement.Server{ID: "s1"}, Packable: tight}
-		fixture.Start(plan, placement.Request{InterTokenObjective: gap, Memory: 5000})
+	start := func(interTokenObjective time.Duration, packable bool) {
+		plan := placement.Plan{Server: placement.Server{ID: "s1"}, Packable: packable}
+		fixture.Start(plan, placement.Request{InterTokenObjective: interTokenObjective, Memory: 5000})
 	}
 	start(300*time.Millisecond, true)
 	start(120*time.Millisecond, true)
--- a/internal/pool/reports.go
+++ b/internal/pool/reports.go
@@ -60,7 +60,7 @@
 	return false
 }
 
-// dropExpired drops other VMs' attempts that were not reported for Settings.RemoteTime.
+// dropExpired drops other VMs' attempts that were not reported for Settings.RemoteReportTTL.
 func (pool *Pool) dropExpired(server *server, now time.Time) {
 	expiry := now.Add(-pool.settings.RemoteTime)
 	kept := server.attempts[:0]
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -8,7 +8,7 @@
 
 // Settings configure the pool.
 type Settings struct {
-	// ReturnTime is for how long after the list's source is available again a server that is
+	// ListRecoveryTime is for how long after the list's source is available again a server that is
 	// missing from the list still counts as running.
 	ReturnTime time.Duration `yaml:"return_time" validate:"min=0,max=1m"`
 	// EjectAfter is the number of consecutive failures that make a server suspect.
@@ -17,17 +17,17 @@
 	// up to EjectTimeMax.
 	EjectTime    time.Duration `yaml:"eject_time" validate:"min=10ms"`
 	EjectTimeMax time.Duration `yaml:"eject_time_max" validate:"min=10ms"`
-	// PassSpare is the time of an engine pass beyond its steps and prefill: the context of the
+	// PassTimeMargin is the time of an engine pass beyond its steps and prefill: the context of the
 	// requests being decoded.
 	PassSpare time.Duration `yaml:"pass_spare" validate:"min=0"`
-	// PaceGain is the weight of one event in a server's pace. PaceHalf is the half-life of the
-	// pace's deviation from one without new events. A server is suspect if its pace exceeds the
-	// median of its service by the factor SlowTimes.
+	// PaceWeight is the weight of one event in a server's pace. PaceHalfLife is the half-life of
+	// the pace's deviation from one without new events. A server is suspect if its pace exceeds the
+	// median of its service by the factor SlowPaceFactor.
 	PaceGain  float64       `yaml:"pace_gain" validate:"min=0,max=1"`
 	PaceHalf  time.Duration `yaml:"pace_half" validate:"min=100ms"`
 	SlowTimes float64       `yaml:"slow_times" validate:"min=1"`
 	// A server counts as delayed if a first event is later than estimated by OverdueAfter plus the
-	// fraction OverduePart of its prefill time.
+	// fraction OverdueFraction of its prefill time.
 	OverdueAfter time.Duration `yaml:"overdue_after" validate:"min=10ms"`
 	OverduePart  float64       `yaml:"overdue_part" validate:"min=0"`
 	// HiddenMin is the first period for which KV memory in use that no VM reported counts. Each
@@ -35,7 +35,7 @@
 	// stays without renewal (reservation.Settings.Hold).
 	HiddenMin time.Duration `yaml:"hidden_min" validate:"min=1ms"`
 	HiddenMax time.Duration `yaml:"hidden_max" validate:"min=1ms,gtefield=HiddenMin"`
-	// RemoteTime is the time to live of another VM's report without a repetition.
+	// RemoteReportTTL is the time to live of another VM's report without a repetition.
 	RemoteTime time.Duration `yaml:"remote_time" validate:"min=100ms"`
 }
 
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -80,7 +80,7 @@
 }
 
 // PublishableEntries returns the entries to report to other VMs: those in force, and those that
-// ended within Settings.HeartbeatInterval, since they may have been lifted.
+// ended within Settings.RepublishTime, since they may have been lifted.
 func (tracker *Tracker) PublishableEntries() []Entry {
 	return tracker.entriesAfter(-tracker.settings.Repeat)
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -159,7 +159,7 @@
 }
 
 // countMoments returns the number of distinct moments of crashes. Crashes within Settings.Moment of
-// each other are one moment. Those more recent than Settings.Settle are left out so far.
+// each other are one moment. Those more recent than Settings.EvaluationDelay are left out so far.
 func (evidence evidence) countMoments(crashes []*crash) int {
 	latest := evidence.now.Add(-evidence.settings.Settle)
 	moments := 0
--- a/internal/quarantine/observation.go
+++ b/internal/quarantine/observation.go
@@ -24,8 +24,8 @@
 	tracker.addLoss(loss)
 }
 
-// RecentLosses returns the losses that this VM observed within Settings.HeartbeatInterval, to be reported
-// repeatedly.
+// RecentLosses returns the losses that this VM observed within Settings.RepublishTime, to be
+// reported repeatedly.
 func (tracker *Tracker) RecentLosses() []Loss {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// crashFor returns the crash that a loss belongs to, and adds it if none is nearby in time: a server
-// may restart under its ID.
+// crashFor returns the crash that a loss belongs to, and adds it if none is nearby in time: a
+// server may restart under its ID.
 func (tracker *Tracker) crashFor(loss Loss) *crash {
 	nearby := between(tracker.crashes, loss.At.Add(-tracker.settings.Alive), loss.At.Add(tracker.settings.Alive))
 	if at := slices.IndexFunc(nearby, func(crash *crash) bool { return crash.server == loss.Server }); at >= 0 {
@@ -113,7 +113,8 @@
 	return added
 }
 
-// dropOld drops crashes older than Settings.Memory, and the oldest ones beyond Settings.Crashes.
+// dropOld drops crashes older than Settings.HistoryTime, and the oldest ones beyond
+// Settings.MaxCrashes.
 func (tracker *Tracker) dropOld() {
 	oldest := tracker.now().Add(-tracker.settings.Memory)
 	drop := 0
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -17,7 +17,7 @@
 )
 
 // cause and bystander are requests, and step is a time longer than Settings.Moment and
-// Settings.Settle.
+// Settings.EvaluationDelay.
 const (
 	cause     = fingerprint.Fingerprint(1)
 	bystander = fingerprint.Fingerprint(2)
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -23,15 +23,16 @@
 
 // Settings configure reservations.
 type Settings struct {
-	// Hold is the time after which an engine releases a reservation that is not renewed. It must be
+	// TTL is the time after which an engine releases a reservation that is not renewed. It must be
 	// below 4 s, the time within which the users require unused memory to be released.
 	Hold time.Duration `yaml:"hold" validate:"min=100ms"`
-	// Renew is the interval between renewals.
+	// RenewInterval is the interval between renewals.
 	Renew time.Duration `yaml:"renew" validate:"min=10ms"`
-	// OrderTime is the timeout of a command to an engine.
+	// CommandTimeout is the timeout of a command to an engine.
 	OrderTime time.Duration `yaml:"order_time" validate:"min=10ms"`
-	// Again is the interval between attempts to release memory after a reserve command without a
-	// reply. Late is the time for which the engine may still execute such a command.
+	// ReleaseRetryInterval is the interval between attempts to release memory after a reserve
+	// command without a reply. LateCommandWindow is the time for which the engine may still execute
+	// such a command.
 	Again time.Duration `yaml:"again" validate:"min=10ms"`
 	Late  time.Duration `yaml:"late" validate:"min=10ms"`
 }
@@ -48,14 +49,14 @@
 	}
 }
 
-// WithMaxHold returns the settings with Hold limited to maxHold. The renewal interval is shortened in
+// WithMaxTTL returns the settings with TTL limited to maxTTL. The renewal interval is shortened in
 // proportion. Zero means no limit.
-func (settings Settings) WithMaxHold(maxHold time.Duration) Settings {
-	if maxHold <= 0 || settings.Hold <= maxHold {
+func (settings Settings) WithMaxHold(maxTTL time.Duration) Settings {
+	if maxTTL <= 0 || settings.Hold <= maxTTL {
 		return settings
 	}
-	settings.Renew = time.Duration(float64(settings.Renew) * float64(maxHold) / float64(settings.Hold))
-	settings.Hold = maxHold
+	settings.Renew = time.Duration(float64(settings.Renew) * float64(maxTTL) / float64(settings.Hold))
+	settings.Hold = maxTTL
 	return settings
 }
 
@@ -81,7 +82,7 @@
 
 // Codec encodes commands and decodes replies. A ticket identifies a reservation at an engine.
 type Codec interface {
-	Reserve(instance, ticket string, tokens int, hold time.Duration) upstream.Request
+	Reserve(instance, ticket string, tokens int, ttl time.Duration) upstream.Request
 	Release(instance, ticket string) upstream.Request
 	// Reply decodes a reply. It returns an error when the body is not a reply to a command.
 	Reply(status int, body []byte) (Reply, error)
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -55,7 +55,7 @@
 	engine.commands++
 	behaviour := engine.behaviour
 	engine.mu.Unlock()
-	hold := time.Duration(command.HoldMS) * time.Millisecond
+	ttl := time.Duration(command.HoldMS) * time.Millisecond
 	switch {
 	case behaviour == unresponsive:
 		<-request.Context().Done()
@@ -64,21 +64,21 @@
 		writer.WriteHeader(http.StatusConflict)
 		return
 	case behaviour == late && command.Op == "reserve":
-		time.AfterFunc(executionDelay, func() { engine.set(command.ID, hold) })
+		time.AfterFunc(executionDelay, func() { engine.set(command.ID, ttl) })
 		<-request.Context().Done()
 		return
 	case command.Op == "release":
 		engine.set(command.ID, 0)
 	default:
-		engine.set(command.ID, hold)
+		engine.set(command.ID, ttl)
 	}
 	_, _ = writer.Write([]byte(`{"free": 1}`))
 }
 
-func (engine *engine) set(ticket string, hold time.Duration) {
+func (engine *engine) set(ticket string, ttl time.Duration) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.until[ticket] = time.Now().Add(hold)
+	engine.until[ticket] = time.Now().Add(ttl)
 }
 
 // holds reports whether the test's reservation has memory now.
