--- a/internal/catalog/service_test.go
+++ b/internal/catalog/service_test.go
@@ -9,9 +9,9 @@
 	"github.com/mastwinch/mastwinch/internal/catalog"
 )
 
-// TestShortestGap guards against a wrong objective for a service whose routes have several targets,
+// TestShortestInterTokenObjective guards against a wrong objective for a service whose routes have several targets,
 // several objectives or none, and against the objectives of other services.
-func TestShortestGap(t *testing.T) {
+func TestShortestInterTokenObjective(t *testing.T) {
 	to := func(interTokenObjective time.Duration, services ...string) catalog.Route {
 		route := catalog.Route{Gap: interTokenObjective}
 		for _, service := range services {
@@ -23,11 +23,11 @@
 		routes []catalog.Route
 		want   time.Duration
 	}{
-		"no route":                       {},
-		"route without a gap":            {routes: []catalog.Route{to(0, "engines")}},
-		"shorter of two":                 {routes: []catalog.Route{to(time.Second, "engines"), to(200*time.Millisecond, "engines")}, want: 200 * time.Millisecond},
-		"route with two services":        {routes: []catalog.Route{to(300*time.Millisecond, "others", "engines")}, want: 300 * time.Millisecond},
-		"shorter gap of another service": {routes: []catalog.Route{to(time.Second, "engines"), to(100*time.Millisecond, "others")}, want: time.Second},
+		"no route":                               {},
+		"route without an inter-token objective": {routes: []catalog.Route{to(0, "engines")}},
+		"shorter of two":                         {routes: []catalog.Route{to(time.Second, "engines"), to(200*time.Millisecond, "engines")}, want: 200 * time.Millisecond},
+		"route with two services":                {routes: []catalog.Route{to(300*time.Millisecond, "others", "engines")}, want: 300 * time.Millisecond},
+		"shorter objective of another service":   {routes: []catalog.Route{to(time.Second, "engines"), to(100*time.Millisecond, "others")}, want: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			service, found := catalog.New(catalog.Configuration{
--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/cold_test.go
@@ -20,7 +20,7 @@
 	coldDuration    = 8 * time.Second
 )
 
-// setCold makes all VMs learn, within milliseconds of each other, that a server is cold for the
+// setCold reports to all VMs, within milliseconds of each other, that a server is cold for the
 // given time.
 func (fleet *fleet) setCold(number int, left time.Duration) {
 	server := fleet.servers[number]
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -66,12 +66,12 @@
 	network     Network
 	now         func() time.Time
 
-	// decideMu guards queue, lastRequested and decision.
+	// decideMu guards queue, lastRequested and decisions.
 	decideMu sync.Mutex
 	queue    *dispatch.Queue
 	// lastRequested has the time of the last message for each queued request.
 	lastRequested map[dispatch.Key]time.Time
-	// decision has the recent decisions by key, so that they can be sent again when a response was
+	// decisions has the recent decisions by key, so that they can be sent again when a response was
 	// lost.
 	decision map[dispatch.Key]decision
 	// queued has an element after a request was queued.
--- a/internal/coordinator/flow_test.go
+++ b/internal/coordinator/flow_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestAbandonedRequestHoldsNoServers guards against servers that stay assigned to a request whose
-// caller leaves while it is queued or at the moment of its assignment.
+// caller disconnects while it is queued or at the moment of its assignment.
 func TestAbandonedRequestHoldsNoServers(t *testing.T) {
 	for name, callerTimeout := range map[string]time.Duration{
 		"while queued":                                100 * time.Millisecond,
--- a/internal/coordinator/limits_test.go
+++ b/internal/coordinator/limits_test.go
@@ -267,14 +267,14 @@
 	const roundDuration = 2 * time.Second
 	for name, test := range map[string]struct {
 		setLimits func(fleet *fleet, round int)
-		// least is the minimum fraction of all requests that are served in time.
-		least float64
+		// minServed is the minimum fraction of all requests that are served in time.
+		minServed float64
 	}{
-		"one server advertises a very low limit": {setLimits: func(fleet *fleet, _ int) { fleet.servers[0].setLimit(0.1) }, least: 1},
-		"two servers advertise a limit of zero":  {setLimits: func(fleet *fleet, _ int) { fleet.servers[0].setLimit(0); fleet.servers[1].setLimit(0) }, least: 1},
+		"one server advertises a very low limit": {setLimits: func(fleet *fleet, _ int) { fleet.servers[0].setLimit(0.1) }, minServed: 1},
+		"two servers advertise a limit of zero":  {setLimits: func(fleet *fleet, _ int) { fleet.servers[0].setLimit(0); fleet.servers[1].setLimit(0) }, minServed: 1},
 		"one server repeatedly advertises a limit of zero": {setLimits: func(fleet *fleet, round int) {
 			fleet.servers[0].setLimit(float64(round%2) - 1)
-		}, least: 1},
+		}, minServed: 1},
 		"all servers in turn advertise a limit above their load": {setLimits: func(fleet *fleet, round int) {
 			for number, server := range fleet.servers {
 				server.setLimit(-1)
@@ -282,7 +282,7 @@
 					server.setLimit(30)
 				}
 			}
-		}, least: 0.99},
+		}, minServed: 0.99},
 		"all servers in turn advertise five requests a second": {setLimits: func(fleet *fleet, round int) {
 			for number, server := range fleet.servers {
 				server.setLimit(-1)
@@ -290,7 +290,7 @@
 					server.setLimit(5)
 				}
 			}
-		}, least: 0.9},
+		}, minServed: 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -302,7 +302,7 @@
 				inTime, slowest := fleet.outcome(time.Time{})
 				fraction := float64(inTime) / float64(len(fleet.results))
 				t.Logf("%.3f in time", fraction)
-				assert.Check(t, fraction >= test.least, "%.3f in time", fraction)
+				assert.Check(t, fraction >= test.minServed, "%.3f in time", fraction)
 				assert.Check(t, slowest <= plainObjective)
 			})
 		})
--- a/internal/coordinator/overload_test.go
+++ b/internal/coordinator/overload_test.go
@@ -24,7 +24,7 @@
 
 // TestGoodputHoldsUnderOverload guards against goodput that falls under overload of three and five
 // times the capacity. Requests that can't be served must be refused early. Serving the request due
-// first left 418 and 321 requests in time, of 540 without overload, and held late requests until
+// first left 418 and 321 requests in time, of 540 without overload, and kept late requests queued until
 // their callers' deadlines.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	served := func(results []*outcome) (count int) {
--- a/internal/coordinator/request.go
+++ b/internal/coordinator/request.go
@@ -58,7 +58,7 @@
 	return dispatch.AssignmentResponse{}, false
 }
 
-// ReleaseAssignment gives up servers that were assigned to a request but are not used.
+// ReleaseAssignment releases servers that were assigned to a request but are not used.
 func (coordinator *Coordinator) ReleaseAssignment(id uint64) {
 	for _, vm := range coordinator.network.Coordinators() {
 		coordinator.cancel(vm, id)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -5,8 +5,8 @@
 // One queue for all VMs handles bursts in which requests of many VMs compete for the same servers:
 // long prompts beyond what the engines can prefill, or short ones that fill them. Each decision
 // takes all earlier ones into account without any message between VMs. If each VM decided by
-// itself, and only after the last decision had reached all VMs, that delay would bound the long
-// prompts a second, however many engines there are.
+// itself, and only after the last decision had reached all VMs, that delay would limit the rate of
+// long prompts, however many engines there are.
 package dispatch
 
 import (
@@ -36,7 +36,7 @@
 // Queue holds the requests that wait for servers. It is not safe for concurrent use.
 type Queue struct {
 	policy placement.Policy
-	// waiting has each queued request once, in the order of the last pass.
+	// requests has each queued request once, in the order of the last pass.
 	waiting []*Request
 	// late has the throughput of late requests by service.
 	late map[string]*lateThroughput
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -28,8 +28,8 @@
 	body   []byte
 }
 
-// attempt sends the request to the servers of a plan. It always releases use, which holds the
-// capacity claimed for the plan.
+// attempt sends the request to the servers of a plan. It always finishes activeRequest, which
+// counts as load at these servers until then.
 func (forwarder *forwarder) attempt(ctx context.Context, plan placement.Plan, activeRequest *pool.ActiveRequest) result {
 	gateway := forwarder.gateway
 	defer activeRequest.Finish()
@@ -220,7 +220,7 @@
 	watchdog *time.Timer
 	// responseTimeout is how long the server may take to respond.
 	responseTimeout time.Duration
-	// callerStalled is true once the caller took long to read an event. Events that the server sent
+	// callerStalled is true once the caller was slow to read an event. Events that the server sent
 	// before that are still read afterwards.
 	callerStalled bool
 }
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -99,9 +99,9 @@
 
 // queueDeadline returns until when a request is queued. A plain request, or one that was already
 // sent to a server, is queued until its deadline. Any other request is queued as long as the
-// settings allow, or, if it is packable (see placement.Request.Packable), while its caller could still
-// receive an event in time. This bounds the queue and the memory for its bodies, and leaves the
-// caller time to retry.
+// settings allow, or, if it is packable (see placement.Request.Packable), while its caller could
+// still receive an event in time. This bounds the queue and the memory for its bodies, and leaves
+// the caller time to retry.
 func (forwarder *forwarder) queueDeadline() time.Time {
 	request := forwarder.placementRequest()
 	if forwarder.sends > 0 || request.Engine == nil || request.InterTokenObjective == 0 {
--- a/internal/gateway/coordinator_test.go
+++ b/internal/gateway/coordinator_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// addPeer starts a coordinator at the address of a registered VM. It replies to each assignment query with the verdict
-// that verdictFor returns; where that is nil it replies to heartbeats only.
-func (harness *harness) addPeer(number int, verdictFor func(query *wire.Ask) *wire.Verdict) net.PacketConn {
+// addPeer starts a coordinator at the address of a registered VM. It replies to each assignment request with the response
+// that responseFor returns; where that is nil it replies to heartbeats only.
+func (harness *harness) addPeer(number int, responseFor func(request *wire.Ask) *wire.Verdict) net.PacketConn {
 	address := fmt.Sprintf("10.0.1.%d:82", number)
 	vm := fmt.Sprintf("vm-%d", number)
 	conn, err := harness.network.ListenPacket(harness.t.Context(), address)
@@ -45,7 +45,7 @@
 				return
 			}
 			reply := &wire.LoadUpdate{Vm: vm, Address: address, UpMs: 60_000}
-			if !appendVerdicts(buffer[:count], reply, verdictFor) {
+			if !appendResponses(buffer[:count], reply, responseFor) {
 				continue
 			}
 			data, err := proto.Marshal(reply)
@@ -58,30 +58,29 @@
 	return conn
 }
 
-// appendVerdicts adds the verdicts on the assignment queries of a datagram to a reply. In such a query (wire.Ask) a VM requests
-// servers for one caller's request from the coordinator. It reports whether a reply must be sent.
-func appendVerdicts(data []byte, reply *wire.LoadUpdate, verdictFor func(query *wire.Ask) *wire.Verdict) bool {
+// appendResponses adds the responses to the assignment requests of a datagram to a reply. It reports whether a reply must be sent.
+func appendResponses(data []byte, reply *wire.LoadUpdate, responseFor func(request *wire.Ask) *wire.Verdict) bool {
 	update := &wire.LoadUpdate{}
 	if proto.Unmarshal(data, update) != nil {
 		return false
 	}
-	for _, query := range update.GetAsks() {
-		if verdictFor != nil && !query.GetWithdrawn() {
-			reply.Verdicts = append(reply.Verdicts, verdictFor(query))
+	for _, request := range update.GetAsks() {
+		if responseFor != nil && !request.GetWithdrawn() {
+			reply.Verdicts = append(reply.Verdicts, responseFor(request))
 		}
 	}
 	return len(reply.GetVerdicts()) > 0 || update.GetPing() || update.GetHello()
 }
 
 // TestVMAssignsLocallyWithoutCoordinator guards against requests that fail without a coordinator. The VM must assign servers
-// itself when all other VMs are unreachable, and when the coordinator is alive but does not reply to assignment queries.
+// itself when all other VMs are unreachable, and when the coordinator is alive but does not reply to assignment requests.
 func TestVMAssignsLocallyWithoutCoordinator(t *testing.T) {
 	for name, test := range map[string]struct {
 		silent      bool
 		maxDuration time.Duration
 	}{
-		"other VMs unreachable":         {maxDuration: 180 * time.Millisecond},
-		"coordinator sends no verdicts": {silent: true, maxDuration: 240 * time.Millisecond},
+		"other VMs unreachable":          {maxDuration: 180 * time.Millisecond},
+		"coordinator sends no responses": {silent: true, maxDuration: 240 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engines := map[string]backend{"a": streamEvents(3, 0), "b": streamEvents(3, 0)}
@@ -106,22 +105,22 @@
 }
 
 // TestUnknownAssignedServerIsExcluded has a coordinator that assigns a server which is no longer listed. The VM must
-// exclude only that server when it sends the assignment query again.
+// exclude only that server when it sends the assignment request again.
 func TestUnknownAssignedServerIsExcluded(t *testing.T) {
 	engines := map[string]backend{"a": streamEvents(3, 0), "b": streamEvents(3, 0)}
 	withHarness(t, engines, nil, func(harness *harness) {
 		var mu sync.Mutex
 		var tried [][]string
 		harness.addMembers(30)
-		conn := harness.addPeer(2, func(query *wire.Ask) *wire.Verdict {
+		conn := harness.addPeer(2, func(request *wire.Ask) *wire.Verdict {
 			mu.Lock()
 			defer mu.Unlock()
-			tried = append(tried, query.GetTried())
-			verdict := &wire.Verdict{Id: query.GetId(), Decision: wire.Decision_DECISION_PLACED, Servers: []string{"engines-a"}}
-			if len(query.GetTried()) == 0 {
-				verdict.Servers = append(verdict.GetServers(), "engines-left")
+			tried = append(tried, request.GetTried())
+			response := &wire.Verdict{Id: request.GetId(), Decision: wire.Decision_DECISION_PLACED, Servers: []string{"engines-a"}}
+			if len(request.GetTried()) == 0 {
+				response.Servers = append(response.GetServers(), "engines-left")
 			}
-			return verdict
+			return response
 		})
 		defer func() { _ = conn.Close() }()
 		harness.restart()
@@ -135,14 +134,14 @@
 	})
 }
 
-// withCoordinator runs a test with engines and a coordinator on another VM, which replies with the verdicts of verdictFor.
+// withCoordinator runs a test with engines and a coordinator on another VM, which replies with the responses of responseFor.
 func withCoordinator(
-	t *testing.T, engines map[string]backend, verdictFor func(query *wire.Ask) *wire.Verdict, test func(harness *harness),
+	t *testing.T, engines map[string]backend, responseFor func(request *wire.Ask) *wire.Verdict, test func(harness *harness),
 ) {
 	t.Helper()
 	withHarness(t, engines, nil, func(harness *harness) {
 		harness.addMembers(40)
-		conn := harness.addPeer(3, verdictFor)
+		conn := harness.addPeer(3, responseFor)
 		defer func() { _ = conn.Close() }()
 		harness.restart()
 		time.Sleep(4 * time.Second)
@@ -150,43 +149,43 @@
 	})
 }
 
-// constantVerdict returns a function that gives every assignment query the same decision.
-func constantVerdict(decision wire.Decision) func(query *wire.Ask) *wire.Verdict {
-	return func(query *wire.Ask) *wire.Verdict { return &wire.Verdict{Id: query.GetId(), Decision: decision} }
+// constantResponse returns a function that gives every assignment request the same decision.
+func constantResponse(decision wire.Decision) func(request *wire.Ask) *wire.Verdict {
+	return func(request *wire.Ask) *wire.Verdict { return &wire.Verdict{Id: request.GetId(), Decision: decision} }
 }
 
-// dueTimes records the due times of the assignment queries that a coordinator receives.
-type dueTimes struct {
+// deadlineRecorder records the times to the objective in the assignment requests that a coordinator receives.
+type deadlineRecorder struct {
 	mu sync.Mutex
-	// due has the due times, relative to the sending of the assignment query; negative values are late.
-	due []time.Duration
+	// timesToObjective has the times from the sending of each request to its objective deadline; negative values are late.
+	timesToObjective []time.Duration
 	// servers are assigned one after the other; the last one is then repeated.
 	servers []string
 }
 
-// verdictFor records the due time of an assignment query and assigns the next server.
-func (dueTimes *dueTimes) verdictFor(query *wire.Ask) *wire.Verdict {
-	dueTimes.mu.Lock()
-	defer dueTimes.mu.Unlock()
-	server := dueTimes.servers[min(len(dueTimes.due), len(dueTimes.servers)-1)]
-	dueTimes.due = append(dueTimes.due, time.Duration(query.GetDueMs())*time.Millisecond)
-	return &wire.Verdict{Id: query.GetId(), Decision: wire.Decision_DECISION_PLACED, Servers: []string{server}}
+// responseFor records the time to the objective of an assignment request and assigns the next server.
+func (deadlineRecorder *deadlineRecorder) responseFor(request *wire.Ask) *wire.Verdict {
+	deadlineRecorder.mu.Lock()
+	defer deadlineRecorder.mu.Unlock()
+	server := deadlineRecorder.servers[min(len(deadlineRecorder.timesToObjective), len(deadlineRecorder.servers)-1)]
+	deadlineRecorder.timesToObjective = append(deadlineRecorder.timesToObjective, time.Duration(request.GetDueMs())*time.Millisecond)
+	return &wire.Verdict{Id: request.GetId(), Decision: wire.Decision_DECISION_PLACED, Servers: []string{server}}
 }
 
-// firstTwo returns the two recorded due times and fails the test if there are more or fewer.
-func (dueTimes *dueTimes) firstTwo(t *testing.T) (first, second time.Duration) {
+// firstTwo returns the two recorded times and fails the test if there are more or fewer.
+func (deadlineRecorder *deadlineRecorder) firstTwo(t *testing.T) (first, second time.Duration) {
 	t.Helper()
-	dueTimes.mu.Lock()
-	defer dueTimes.mu.Unlock()
-	assert.Equal(t, len(dueTimes.due), 2)
-	return dueTimes.due[0], dueTimes.due[1]
+	deadlineRecorder.mu.Lock()
+	defer deadlineRecorder.mu.Unlock()
+	assert.Equal(t, len(deadlineRecorder.timesToObjective), 2)
+	return deadlineRecorder.timesToObjective[0], deadlineRecorder.timesToObjective[1]
 }
 
 // TestCoordinatorRefusalReachesCallerAtOnce has a coordinator that expects no free capacity. The caller must receive a
 // refusal with Retry-After at once, and no server may receive the request.
 func TestCoordinatorRefusalReachesCallerAtOnce(t *testing.T) {
-	verdictFor := constantVerdict(wire.Decision_DECISION_REFUSED)
-	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, verdictFor, func(harness *harness) {
+	responseFor := constantResponse(wire.Decision_DECISION_REFUSED)
+	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, responseFor, func(harness *harness) {
 		got := harness.query(streamRequest("chat").with("Token-Counts", "1000,50"))
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -198,8 +197,8 @@
 // TestShortPromptIsNotQueuedPastCallerTimeout guards against queueing a short prompt for its whole deadline of 10 s when the
 // coordinator assigns no server. Its caller disconnects after two seconds without an event.
 func TestShortPromptIsNotQueuedPastCallerTimeout(t *testing.T) {
-	verdictFor := constantVerdict(wire.Decision_DECISION_HELD)
-	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, verdictFor, func(harness *harness) {
+	responseFor := constantResponse(wire.Decision_DECISION_HELD)
+	withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, responseFor, func(harness *harness) {
 		got := harness.query(streamRequest("chat").with("Token-Counts", "1000,50"))
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -207,23 +206,23 @@
 	})
 }
 
-// TestInterruptedStreamIsDueByInterTokenObjective guards against resuming an interrupted stream too late. Its second
-// assignment query had a due time in the past, so it was ordered behind all new requests.
-func TestInterruptedStreamIsDueByInterTokenObjective(t *testing.T) {
-	dueTimes := &dueTimes{servers: []string{"engines-a", "engines-b"}}
+// TestInterruptedStreamResumesWithinInterTokenObjective guards against resuming an interrupted stream too late. Its second
+// assignment request had an objective deadline in the past, so it was ordered behind all new requests.
+func TestInterruptedStreamResumesWithinInterTokenObjective(t *testing.T) {
+	deadlineRecorder := &deadlineRecorder{servers: []string{"engines-a", "engines-b"}}
 	engines := map[string]backend{"a": streamEvents(12, 9), "b": streamEvents(12, 0)}
-	withCoordinator(t, engines, dueTimes.verdictFor, func(harness *harness) {
+	withCoordinator(t, engines, deadlineRecorder.responseFor, func(harness *harness) {
 		got := harness.query(streamRequest("chat").with("Token-Counts", "1000,50"))
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Assert(t, got.complete)
-		_, second := dueTimes.firstTwo(t)
+		_, second := deadlineRecorder.firstTwo(t)
 		assert.Assert(t, second > 0 && second <= 250*time.Millisecond, "%s", second)
 	})
 }
 
-// TestRetriedRequestIsDueByFirstAttempt has a caller with 700 ms less left than others, which means that it retries. The
+// TestObjectiveCountsFromFirstAttempt has a caller with 700 ms less left than others, which means that it retries. The
 // objective counts from its first attempt, so a short prompt is late already; it was treated as a first attempt.
-func TestRetriedRequestIsDueByFirstAttempt(t *testing.T) {
+func TestObjectiveCountsFromFirstAttempt(t *testing.T) {
 	const tolerance = 25 * time.Millisecond
 	for name, test := range map[string]struct {
 		tokens        string
@@ -233,13 +232,13 @@
 		"long":  {tokens: "150000,50", first: 300 * time.Millisecond, second: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dueTimes := &dueTimes{servers: []string{"engines-a"}}
-			withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, dueTimes.verdictFor, func(harness *harness) {
+			deadlineRecorder := &deadlineRecorder{servers: []string{"engines-a"}}
+			withCoordinator(t, map[string]backend{"a": streamEvents(3, 0)}, deadlineRecorder.responseFor, func(harness *harness) {
 				for _, deadline := range []string{"10000", "9300"} {
 					got := harness.query(streamRequest("chat").with("Token-Counts", test.tokens).with("Deadline-Ms", deadline))
 					assert.Equal(t, got.status, http.StatusOK)
 				}
-				first, second := dueTimes.firstTwo(t)
+				first, second := deadlineRecorder.firstTwo(t)
 				assert.Assert(t, (first-test.first).Abs() < tolerance, "%s", first)
 				assert.Assert(t, (second-test.second).Abs() < tolerance, "%s", second)
 			})
--- a/internal/gateway/epochs.go
+++ b/internal/gateway/epochs.go
@@ -22,7 +22,7 @@
 // handleEpoch handles one epoch until it is over or ctx is done. It reads the store again whenever
 // another VM reports a newer epoch. afterRestore is true if the epoch began with a restore of the
 // store. Writes still in progress are cancelled when the epoch is over: the store may have lost
-// them again, and the next epoch starts them anew.
+// them again, and the next epoch starts them again.
 func (gateway *Gateway) handleEpoch(ctx context.Context, ended <-chan struct{}, afterRestore bool) {
 	var rewriting sync.WaitGroup
 	defer rewriting.Wait()
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -123,9 +123,9 @@
 // nextEventDeadline returns the deadline of the next event: the first event is due within the
 // objective, and each further one within the inter-token objective after the one before it. An
 // interrupted stream therefore takes precedence over new requests while its next event can still be
-// in time, and yields to them afterwards. The objective of a packable request counts from its caller's
-// first try. For other requests it counts from the current try: they are few, and with a lower
-// precedence they would get no servers until the next fault.
+// in time, and yields to them afterwards. The objective of a packable request counts from its
+// caller's first try. For other requests it counts from the current try: they are few, and with a
+// lower precedence they would get no servers until the next fault.
 func (forwarder *forwarder) nextEventDeadline(packable bool) time.Time {
 	switch {
 	case !forwarder.timings.lastEventAt.IsZero():
--- a/internal/gateway/place_test.go
+++ b/internal/gateway/place_test.go
@@ -137,7 +137,7 @@
 	return true
 }
 
-// TestEngineWithoutMemoryIsNotRetried has an engine whose memory is held by requests that no VM reports, as it is after VMs
+// TestEngineWithoutMemoryIsNotRetried has an engine whose memory is used by requests that no VM reports, as it is after VMs
 // were killed. The same plan was repeated every 20 ms until the prompt was refused, although other engines had free memory.
 func TestEngineWithoutMemoryIsNotRetried(t *testing.T) {
 	for name, reply := range map[string]func(writer http.ResponseWriter){
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,7 +37,7 @@
 			activeAttempt.restartWatchdog(streamTimeout)
 			continue
 		}
-		// The server is not read while the caller is not reading, so its silence must not count
+		// The server is not read while the caller is not reading, so a pause must not count
 		// against it.
 		activeAttempt.stopWatchdog()
 		if err := forwarder.passEvent(activeAttempt, event); err != nil {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -132,7 +132,7 @@
 }
 
 // awaitConfiguration returns the configuration in force, or nil if there is none within the longest
-// wait. It also waits for the first proof that the configuration is current, which arrives shortly
+// wait. It also waits for the first confirmation that the configuration is current, which arrives shortly
 // after the configuration itself: without that, requests that waited for the configuration would be
 // refused as if it were too old.
 func (gateway *Gateway) awaitConfiguration(ctx context.Context, longest time.Duration) *catalog.Catalog {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -70,7 +70,7 @@
 	FirstEventMargin time.Duration `yaml:"silence" validate:"min=10ms"`
 	FirstEventFactor float64       `yaml:"silence_part" validate:"min=0"`
 	// StreamTimeoutMin is the shortest time without an event after which a stream is resumed on
-	// another server. StreamTimeoutGaps gives the same time as a multiple of the route's inter-event
+	// another server. StreamTimeoutGaps gives the same time as a multiple of the route's inter-token
 	// objective; the longer of the two applies.
 	StreamTimeoutMin  time.Duration `yaml:"gap_min" validate:"min=10ms"`
 	StreamTimeoutGaps float64       `yaml:"gap_times" validate:"min=1"`
@@ -103,7 +103,7 @@
 }
 
 // streamTimeout returns after how long without an event a stream is abandoned, where pauses of up
-// to gap meet the objective.
+// to interTokenObjective meet the objective.
 func (settings RequestSettings) streamTimeout(interTokenObjective time.Duration) time.Duration {
 	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(interTokenObjective)))
 }
--- a/internal/gateway/timings.go
+++ b/internal/gateway/timings.go
@@ -14,7 +14,7 @@
 	// firstEventAfter is when the caller received the first event, measured from the request's
 	// arrival; zero means that it received none.
 	firstEventAfter time.Duration
-	// longestGap is the longest time between two events that the caller received.
+	// longestPause is the longest time between two events that the caller received.
 	longestGap time.Duration
 	// lastEventAt is when the caller received the last event.
 	lastEventAt time.Time
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -13,8 +13,7 @@
 
 var _ follower.Listener[directory.Entry] = (*Pool)(nil)
 
-// packOrderKey is the rendezvous key of the order in which requests with short event gaps fill the
-// servers.
+// packOrderKey is the rendezvous key of the order in which packable requests fill the servers.
 const packOrderKey = "pack"
 
 // listSource names the server list as the source of a state, in log lines and in ServerStatus.
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -393,9 +393,9 @@
 	assert.Assert(t, fixture.server(t, "s1").Suspect)
 }
 
-// TestSnapshotHasShortestGaps guards against a server snapshot that hides the strictest event gap
-// of a class: two requests have short gaps, and one doesn't.
-func TestSnapshotHasShortestGaps(t *testing.T) {
+// TestSnapshotHasShortestInterTokenObjectives guards against a server snapshot without the shortest
+// inter-token objective of a class: two requests have short objectives, and one has a longer one.
+func TestSnapshotHasShortestInterTokenObjectives(t *testing.T) {
 	fixture := newFixture()
 	fixture.Replace(listedServers(1))
 	assert.Equal(t, fixture.server(t, "s1").PackableInterTokenObjective, time.Duration(0))
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -211,12 +211,12 @@
 
 func TestWithHoldAtMost(t *testing.T) {
 	settings := reservation.Settings{Hold: 3 * time.Second, Renew: time.Second}
-	for most, want := range map[time.Duration]reservation.Settings{
+	for maxTTL, want := range map[time.Duration]reservation.Settings{
 		0:                {Hold: 3 * time.Second, Renew: time.Second},
 		20 * time.Second: {Hold: 3 * time.Second, Renew: time.Second},
 		time.Second:      {Hold: time.Second, Renew: time.Second / 3},
 	} {
-		assert.DeepEqual(t, settings.WithMaxHold(most), want)
+		assert.DeepEqual(t, settings.WithMaxHold(maxTTL), want)
 	}
 }
 
