--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -27,8 +27,9 @@
 	// waits for it.
 	ObjectiveDeadline time.Time
 	CallerDeadline    time.Time
-	// Packable reports that the request is served by one server beside others at once, or not at
-	// all: a request to a plain service, or one for which placement.Request.Packable holds.
+	// Packable reports that a single server serves the whole request beside others, without a split
+	// of the prompt: a request to a plain service, or one for which placement.Request.Packable
+	// holds.
 	Packable bool
 	// Prefill is the time that one server takes to prefill the prompt. MinTTFT is the shortest
 	// possible time from assignment to the first event.
--- a/internal/exchange/discovery_test.go
+++ b/internal/exchange/discovery_test.go
@@ -81,7 +81,7 @@
 	return list, storeregistry.answer(ctx, time.Duration(pages)*storeReadLatency)
 }
 
-// answer returns after the given time or when ctx is done. While the store is unavailable, it waits for an hour.
+// respond returns after the given time or when ctx is done. While the store is unavailable, it waits for an hour.
 func (storeregistry *storeRegistry) answer(ctx context.Context, after time.Duration) error {
 	storeregistry.mu.Lock()
 	if storeregistry.unavailable {
