--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 // Services returns a service of the active configuration by name, and whether it exists.
 type Services func(name string) (*catalog.Service, bool)
 
-// Coordinator requests servers for the client requests of its VM, and assigns servers to requests
+// Coordinator requests servers for the caller requests of its VM, and assigns servers to requests
 // of all VMs while this VM is the coordinator. It is safe for concurrent use.
 type Coordinator struct {
 	settings    Settings
@@ -66,12 +66,12 @@
 	network     Network
 	now         func() time.Time
 
-	// decideMu guards queue, lastRequested and decision.
+	// decideMu guards queue, lastRequested and decisions.
 	decideMu sync.Mutex
 	queue    *dispatch.Queue
 	// lastRequested has the time of the last message for each queued request.
 	lastRequested map[dispatch.Key]time.Time
-	// decision has the recent decisions by key, so that they can be sent again when a response was
+	// decisions has the recent decisions by key, so that they can be sent again when a response was
 	// lost.
 	decision map[dispatch.Key]decision
 	// queued has an element after a request was queued.
