--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -40,7 +40,7 @@
 	}
 	for i := range configuration.Services {
 		service := &catalog.configuration.Services[i]
-		service.ShortestGap = shortestGap(configuration.Routes, service.Name)
+		service.ShortestInterTokenObjective = shortestInterTokenObjective(configuration.Routes, service.Name)
 		catalog.services[service.Name] = service
 	}
 	for i := range configuration.Organisations {
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -32,7 +32,7 @@
 	Objective time.Duration
 	// InterTokenObjective is the longest time between two events of a stream that meets the
 	// objective, or zero for none.
-	Gap time.Duration
+	InterTokenObjective time.Duration
 	// Priority is the priority of the route's requests. Zero is the most urgent.
 	Priority int
 	// MaxAttempts is the largest number of servers that may run one request.
@@ -76,13 +76,13 @@
 
 // shortestInterTokenObjective returns the shortest InterTokenObjective of the routes to a service,
 // or zero if none has one.
-func shortestGap(routes []Route, service string) time.Duration {
+func shortestInterTokenObjective(routes []Route, service string) time.Duration {
 	var shortest time.Duration
 	for i := range routes {
 		route := &routes[i]
 		matches := slices.ContainsFunc(route.Targets, func(target Target) bool { return target.Service == service })
-		if matches && route.Gap > 0 && (shortest == 0 || route.Gap < shortest) {
-			shortest = route.Gap
+		if matches && route.InterTokenObjective > 0 && (shortest == 0 || route.InterTokenObjective < shortest) {
+			shortest = route.InterTokenObjective
 		}
 	}
 	return shortest
--- a/internal/catalog/service.go
+++ b/internal/catalog/service.go
@@ -12,7 +12,7 @@
 	ColdPerSecond float64
 	// ShortestInterTokenObjective is the shortest InterTokenObjective of the routes to the service,
 	// or zero if none has one. New sets it.
-	ShortestGap time.Duration
+	ShortestInterTokenObjective time.Duration
 	// Engine describes the service's model engines. It is nil for a service without engines.
 	Engine *Engine
 }
--- a/internal/catalog/service_test.go
+++ b/internal/catalog/service_test.go
@@ -13,7 +13,7 @@
 // several objectives or none, and against the objectives of other services.
 func TestShortestInterTokenObjective(t *testing.T) {
 	to := func(interTokenObjective time.Duration, services ...string) catalog.Route {
-		route := catalog.Route{Gap: interTokenObjective}
+		route := catalog.Route{InterTokenObjective: interTokenObjective}
 		for _, service := range services {
 			route.Targets = append(route.Targets, catalog.Target{Service: service, Weight: 1})
 		}
@@ -34,7 +34,7 @@
 				Routes: test.routes, Services: []catalog.Service{{Name: "others"}, {Name: "engines"}},
 			}).Service("engines")
 			assert.Assert(t, found)
-			assert.Equal(t, service.ShortestGap, test.want)
+			assert.Equal(t, service.ShortestInterTokenObjective, test.want)
 		})
 	}
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -73,7 +73,7 @@
 	lastRequested map[dispatch.Key]time.Time
 	// decisions has the recent decisions by key, so that they can be sent again when a response was
 	// lost.
-	decision map[dispatch.Key]decision
+	decisions map[dispatch.Key]decision
 	// queued has an element after a request was queued.
 	queued chan struct{}
 
@@ -113,7 +113,7 @@
 		now:           now,
 		queue:         dispatch.New(policy),
 		lastRequested: make(map[dispatch.Key]time.Time),
-		decision:      make(map[dispatch.Key]decision),
+		decisions:     make(map[dispatch.Key]decision),
 		queued:        make(chan struct{}, 1),
 		pending:       make(map[uint64]chan peerResponse),
 	}
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -29,7 +29,7 @@
 	defer coordinator.decideMu.Unlock()
 	key := dispatch.Key{VM: vm, ID: assignmentRequest.ID}
 	now := coordinator.now()
-	if decision, found := coordinator.decision[key]; found {
+	if decision, found := coordinator.decisions[key]; found {
 		return decision.response
 	}
 	service, found := coordinator.services(assignmentRequest.Service)
@@ -41,7 +41,7 @@
 		ObjectiveDeadline: now.Add(assignmentRequest.TimeToObjective), CallerDeadline: now.Add(assignmentRequest.TimeToCallerDeadline),
 		Placement: placement.Request{
 			DataCentre: assignmentRequest.DataCentre, Engine: service.Engine, Tokens: assignmentRequest.Tokens, Memory: assignmentRequest.Memory,
-			InterTokenObjective: assignmentRequest.InterTokenObjective, ShortestInterTokenObjective: service.ShortestGap, Objective: assignmentRequest.Objective,
+			InterTokenObjective: assignmentRequest.InterTokenObjective, ShortestInterTokenObjective: service.ShortestInterTokenObjective, Objective: assignmentRequest.Objective,
 			// A fixed seed per VM selects the same servers among equal ones, so that fewer new
 			// connections are opened.
 			Seed: xxhash.Sum64String(vm),
@@ -86,7 +86,7 @@
 func (coordinator *Coordinator) recordAssignment(assignment dispatch.Assignment, now time.Time) dispatch.AssignmentResponse {
 	response := assignment.Response()
 	delete(coordinator.lastRequested, assignment.Key)
-	coordinator.decision[assignment.Key] = decision{response: response, at: now}
+	coordinator.decisions[assignment.Key] = decision{response: response, at: now}
 	return response
 }
 
@@ -94,7 +94,7 @@
 func (coordinator *Coordinator) recordRefusal(refusal dispatch.Refusal, now time.Time) dispatch.AssignmentResponse {
 	response := dispatch.AssignmentResponse{ID: refusal.ID, Decision: dispatch.DecisionRefused, RetryAfter: refusal.RetryAfter}
 	delete(coordinator.lastRequested, refusal.Key)
-	coordinator.decision[refusal.Key] = decision{response: response, at: now}
+	coordinator.decisions[refusal.Key] = decision{response: response, at: now}
 	return response
 }
 
@@ -112,8 +112,8 @@
 	defer coordinator.decideMu.Unlock()
 	coordinator.queue.Remove(key)
 	delete(coordinator.lastRequested, key)
-	if _, decided := coordinator.decision[key]; decided {
-		delete(coordinator.decision, key)
+	if _, decided := coordinator.decisions[key]; decided {
+		delete(coordinator.decisions, key)
 		coordinator.servers.Withdraw(key.VM, key.ID)
 	}
 }
@@ -131,8 +131,8 @@
 		changed := coordinator.servers.Changed()
 		started := coordinator.now()
 		waiting := coordinator.dispatchQueued(started)
-		pause := time.Duration(coordinator.settings.RestTimes * float64(coordinator.now().Sub(started)))
-		if !wait.For(ctx, max(coordinator.settings.Pause, pause)) {
+		pause := time.Duration(coordinator.settings.DispatchPauseFactor * float64(coordinator.now().Sub(started)))
+		if !wait.For(ctx, max(coordinator.settings.MinDispatchInterval, pause)) {
 			return
 		}
 		coordinator.waitForChange(ctx, changed, waiting)
@@ -144,12 +144,12 @@
 	if !waiting {
 		select {
 		case <-coordinator.queued:
-		case <-time.After(coordinator.settings.Remember):
+		case <-time.After(coordinator.settings.DecisionTTL):
 		case <-ctx.Done():
 		}
 		return
 	}
-	timer := time.NewTimer(coordinator.settings.Look)
+	timer := time.NewTimer(coordinator.settings.DispatchInterval)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -191,15 +191,15 @@
 // expire drops queued requests whose VMs have sent no message for a while, and old decisions.
 func (coordinator *Coordinator) expire(now time.Time) {
 	coordinator.queue.DropWhere(func(request *dispatch.Request) bool {
-		if now.Sub(coordinator.lastRequested[request.Key]) <= coordinator.settings.Lapse {
+		if now.Sub(coordinator.lastRequested[request.Key]) <= coordinator.settings.QueuedRequestTTL {
 			return false
 		}
 		delete(coordinator.lastRequested, request.Key)
 		return true
 	})
-	for key, decision := range coordinator.decision {
-		if now.Sub(decision.at) > coordinator.settings.Remember {
-			delete(coordinator.decision, key)
+	for key, decision := range coordinator.decisions {
+		if now.Sub(decision.at) > coordinator.settings.DecisionTTL {
+			delete(coordinator.decisions, key)
 		}
 	}
 }
--- a/internal/coordinator/fleetvm_test.go
+++ b/internal/coordinator/fleetvm_test.go
@@ -62,7 +62,7 @@
 func (*fleetVM) HandleQuarantined([]quarantine.Entry) {}
 
 // StoreUnavailable implements exchange.Sink.
-func (*fleetVM) Blind() bool { return false }
+func (*fleetVM) StoreUnavailable() bool { return false }
 
 // Timeouts and network delay of a request to a plain server.
 const (
--- a/internal/coordinator/request.go
+++ b/internal/coordinator/request.go
@@ -39,13 +39,13 @@
 		switch {
 		case !received && ctx.Err() == nil:
 			unanswered++
-			if unanswered >= coordinator.settings.Misses {
+			if unanswered >= coordinator.settings.MaxMissedResponses {
 				coordinator.network.ReportUnresponsive(vm)
 			}
 			continue
 		case received && response.Decision == dispatch.DecisionQueued:
 			unanswered = 0
-			response, received = coordinator.awaitResponse(ctx, responses, vm, coordinator.settings.Renew)
+			response, received = coordinator.awaitResponse(ctx, responses, vm, coordinator.settings.RepeatInterval)
 		}
 		if received && response.Final() {
 			return response, true
@@ -143,7 +143,7 @@
 func (coordinator *Coordinator) recordResponseTime(responseTime time.Duration) {
 	coordinator.pendingMu.Lock()
 	defer coordinator.pendingMu.Unlock()
-	coordinator.responseTime += time.Duration(coordinator.settings.AnswerGain * float64(responseTime-coordinator.responseTime))
+	coordinator.responseTime += time.Duration(coordinator.settings.ResponseTimeWeight * float64(responseTime-coordinator.responseTime))
 }
 
 // responseTimeout returns the timeout of the next response.
@@ -151,6 +151,6 @@
 	coordinator.pendingMu.Lock()
 	defer coordinator.pendingMu.Unlock()
 	settings := coordinator.settings
-	expected := time.Duration(settings.AnswerTimes * float64(coordinator.responseTime))
+	expected := time.Duration(settings.ResponseTimeFactor * float64(coordinator.responseTime))
 	return min(settings.AnswerMax, max(settings.AnswerMin, expected))
 }
--- a/internal/dispatch/latethroughput.go
+++ b/internal/dispatch/latethroughput.go
@@ -68,7 +68,7 @@
 func (queue *Queue) refuse(servers Servers, now time.Time) []Refusal {
 	ahead := make(map[string]int)
 	var refused []Refusal
-	queue.waiting = slices.DeleteFunc(queue.waiting, func(request *Request) bool {
+	queue.requests = slices.DeleteFunc(queue.requests, func(request *Request) bool {
 		if servers.AllEvacuated(request) {
 			refused = append(refused, Refusal{Key: request.Key})
 			return true
@@ -98,7 +98,7 @@
 // updateLateThroughput records for which services late packable requests are queued.
 func (queue *Queue) updateLateThroughput(now time.Time) {
 	waiting := make(map[string]bool)
-	for _, request := range queue.waiting {
+	for _, request := range queue.requests {
 		if request.Packable && request.late(now) {
 			waiting[request.Service] = true
 			queue.lateThroughput(request.Service) // creates the measurement for the first late request of a service
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -37,7 +37,7 @@
 type Queue struct {
 	policy placement.Policy
 	// requests has each queued request once, in the order of the last pass.
-	waiting []*Request
+	requests []*Request
 	// late has the throughput of late requests by service.
 	late map[string]*lateThroughput
 	// retryTimes has, by service, the retry time given to the last caller refused for rate limits.
@@ -51,7 +51,7 @@
 
 // Len returns the number of queued requests.
 func (queue *Queue) Len() int {
-	return len(queue.waiting)
+	return len(queue.requests)
 }
 
 // Offer assigns servers to a new request, or queues it, and reports whether it assigned any. A
@@ -61,7 +61,7 @@
 // waits for the next pass.
 func (queue *Queue) Offer(request *Request, servers Servers, now time.Time) (Assignment, bool) {
 	queue.Remove(request.Key)
-	queue.waiting = append(queue.waiting, request)
+	queue.requests = append(queue.requests, request)
 	if queue.count(request.Service) > 1 {
 		if _, limited := servers.AcceptedRate(request); limited {
 			return Assignment{}, false
@@ -71,7 +71,7 @@
 	if !placed {
 		return Assignment{}, false
 	}
-	queue.waiting = queue.waiting[:len(queue.waiting)-1]
+	queue.requests = queue.requests[:len(queue.requests)-1]
 	servers.RecordAssignment(request, plan)
 	return Assignment{Key: request.Key, Plan: plan}, true
 }
@@ -81,10 +81,10 @@
 // the remaining requests that are not expected to be served in time.
 func (queue *Queue) Dispatch(servers Servers, now time.Time) ([]Assignment, []Refusal) {
 	queue.updateLateThroughput(now)
-	slices.SortFunc(queue.waiting, compareAt(now, queue.overloaded))
+	slices.SortFunc(queue.requests, compareAt(now, queue.overloaded))
 	available := make(map[string][]placement.Server)
 	var assignments []Assignment
-	queue.waiting = slices.DeleteFunc(queue.waiting, func(request *Request) bool {
+	queue.requests = slices.DeleteFunc(queue.requests, func(request *Request) bool {
 		serviceServers, found := available[request.Service]
 		if !found {
 			serviceServers = servers.Eligible(request.Service)
@@ -107,11 +107,11 @@
 
 // Find returns the queued request of a key, or nil.
 func (queue *Queue) Find(key Key) *Request {
-	index := slices.IndexFunc(queue.waiting, func(request *Request) bool { return request.Key == key })
+	index := slices.IndexFunc(queue.requests, func(request *Request) bool { return request.Key == key })
 	if index < 0 {
 		return nil
 	}
-	return queue.waiting[index]
+	return queue.requests[index]
 }
 
 // Remove drops a request that no longer needs servers. It does nothing if the request is not
@@ -122,7 +122,7 @@
 
 // DropWhere drops the queued requests for which match returns true.
 func (queue *Queue) DropWhere(match func(*Request) bool) {
-	queue.waiting = slices.DeleteFunc(queue.waiting, match)
+	queue.requests = slices.DeleteFunc(queue.requests, match)
 }
 
 // tryPlace applies the policy to one request. It considers only servers that the request may go to
@@ -140,7 +140,7 @@
 // queuedPrefill returns the total prefill time of the long prompts queued for a service.
 func (queue *Queue) queuedPrefill(service string) time.Duration {
 	var prefill time.Duration
-	for _, request := range queue.waiting {
+	for _, request := range queue.requests {
 		if request.Service == service && !request.Packable {
 			prefill += request.Prefill
 		}
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -27,7 +27,7 @@
 // count returns the number of queued requests for a service.
 func (queue *Queue) count(service string) int {
 	count := 0
-	for _, request := range queue.waiting {
+	for _, request := range queue.requests {
 		if request.Service == service {
 			count++
 		}
--- a/internal/exchange/assignment.go
+++ b/internal/exchange/assignment.go
@@ -7,7 +7,7 @@
 	"github.com/mastwinch/mastwinch/internal/wire"
 )
 
-func encodeAsk(request dispatch.AssignmentRequest) *wire.Ask {
+func encodeAssignmentRequest(request dispatch.AssignmentRequest) *wire.Ask {
 	return &wire.Ask{
 		Id:           request.ID,
 		Service:      request.Service,
@@ -26,7 +26,7 @@
 	}
 }
 
-func decodeAsks(requests []*wire.Ask) []dispatch.AssignmentRequest {
+func decodeAssignmentRequests(requests []*wire.Ask) []dispatch.AssignmentRequest {
 	list := make([]dispatch.AssignmentRequest, 0, len(requests))
 	for _, request := range requests {
 		list = append(list, dispatch.AssignmentRequest{
@@ -49,7 +49,7 @@
 	return list
 }
 
-func encodeAnswer(response dispatch.AssignmentResponse) *wire.Verdict {
+func encodeAssignmentResponse(response dispatch.AssignmentResponse) *wire.Verdict {
 	shares := make([]uint64, 0, len(response.MemoryShares))
 	for _, share := range response.MemoryShares {
 		shares = append(shares, uint64(share)) //nolint:gosec // not negative
@@ -68,7 +68,7 @@
 	}
 }
 
-func decodeAnswers(verdicts []*wire.Verdict) []dispatch.AssignmentResponse {
+func decodeAssignmentResponses(verdicts []*wire.Verdict) []dispatch.AssignmentResponse {
 	list := make([]dispatch.AssignmentResponse, 0, len(verdicts))
 	for _, verdict := range verdicts {
 		var shares []int
--- a/internal/exchange/assignment_internal_test.go
+++ b/internal/exchange/assignment_internal_test.go
@@ -55,13 +55,13 @@
 			Reason:           rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "reason"),
 		}
 		data, err := proto.Marshal(&wire.LoadUpdate{
-			Asks: []*wire.Ask{encodeAsk(request)}, Verdicts: []*wire.Verdict{encodeAnswer(response)},
+			Asks: []*wire.Ask{encodeAssignmentRequest(request)}, Verdicts: []*wire.Verdict{encodeAssignmentResponse(response)},
 		})
 		assert.NilError(t, err)
 		assert.Assert(t, len(data) < maxDatagram)
 		update := &wire.LoadUpdate{}
 		assert.NilError(t, proto.Unmarshal(data, update))
-		gotRequest, gotResponse := decodeAsks(update.GetAsks())[0], decodeAnswers(update.GetVerdicts())[0]
+		gotRequest, gotResponse := decodeAssignmentRequests(update.GetAsks())[0], decodeAssignmentResponses(update.GetVerdicts())[0]
 		assert.Equal(t, len(gotRequest.Tried), len(request.Tried))
 		assert.Equal(t, len(gotResponse.Servers), len(response.Servers))
 		assert.Equal(t, len(gotResponse.MemoryShares), len(response.MemoryShares))
@@ -105,7 +105,7 @@
 			return
 		}
 		assert.Equal(t, len(decodeReports(update.GetSendings())), len(update.GetSendings()))
-		assert.Equal(t, len(decodeAsks(update.GetAsks())), len(update.GetAsks()))
-		assert.Equal(t, len(decodeAnswers(update.GetVerdicts())), len(update.GetVerdicts()))
+		assert.Equal(t, len(decodeAssignmentRequests(update.GetAsks())), len(update.GetAsks()))
+		assert.Equal(t, len(decodeAssignmentResponses(update.GetVerdicts())), len(update.GetVerdicts()))
 	})
 }
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -17,11 +17,11 @@
 		sendings = append(sendings, &wire.Sending{
 			Id:           report.ID,
 			Server:       report.Server,
-			Phase:        wire.Phase(report.Phase),                  //nolint:gosec // few values
-			WorkUs:       uint64(report.PrefillTime.Microseconds()), //nolint:gosec // not negative
-			MemoryTokens: uint64(report.Memory),                     //nolint:gosec // not negative
-			GapMs:        uint32(report.Gap.Milliseconds()),         //nolint:gosec // seconds at most
-			Tight:        report.Tight,
+			Phase:        wire.Phase(report.Phase),                          //nolint:gosec // few values
+			WorkUs:       uint64(report.PrefillTime.Microseconds()),         //nolint:gosec // not negative
+			MemoryTokens: uint64(report.Memory),                             //nolint:gosec // not negative
+			GapMs:        uint32(report.InterTokenObjective.Milliseconds()), //nolint:gosec // seconds at most
+			Tight:        report.Packable,
 			Helps:        report.PrefillOnly,
 			AgeMs:        uint32(report.Age.Milliseconds()), //nolint:gosec // minutes at most
 			PacePercent:  uint32(percent * report.Pace),
@@ -38,18 +38,18 @@
 	reports := make([]pool.Report, 0, len(sendings))
 	for _, sending := range sendings {
 		reports = append(reports, pool.Report{
-			ID:          sending.GetId(),
-			Server:      sending.GetServer(),
-			Phase:       pool.Phase(sending.GetPhase()),
-			PrefillTime: time.Duration(sending.GetWorkUs()) * time.Microsecond, //nolint:gosec // hours at most
-			Memory:      int(sending.GetMemoryTokens()),                        //nolint:gosec // bounded by any engine's memory
-			Gap:         time.Duration(sending.GetGapMs()) * time.Millisecond,
-			Tight:       sending.GetTight(),
-			PrefillOnly: sending.GetHelps(),
-			Age:         time.Duration(sending.GetAgeMs()) * time.Millisecond,
-			Pace:        float64(sending.GetPacePercent()) / percent,
-			Health:      pool.Health(sending.GetHealth()),
-			Backoff:     time.Duration(sending.GetRestMs()) * time.Millisecond,
+			ID:                  sending.GetId(),
+			Server:              sending.GetServer(),
+			Phase:               pool.Phase(sending.GetPhase()),
+			PrefillTime:         time.Duration(sending.GetWorkUs()) * time.Microsecond, //nolint:gosec // hours at most
+			Memory:              int(sending.GetMemoryTokens()),                        //nolint:gosec // bounded by any engine's memory
+			InterTokenObjective: time.Duration(sending.GetGapMs()) * time.Millisecond,
+			Packable:            sending.GetTight(),
+			PrefillOnly:         sending.GetHelps(),
+			Age:                 time.Duration(sending.GetAgeMs()) * time.Millisecond,
+			Pace:                float64(sending.GetPacePercent()) / percent,
+			Health:              pool.Health(sending.GetHealth()),
+			Backoff:             time.Duration(sending.GetRestMs()) * time.Millisecond,
 
 			PerSecond:   sending.GetPerSecond(),
 			Fingerprint: fingerprint.Fingerprint(sending.GetFingerprint()),
--- a/internal/exchange/codec_internal_test.go
+++ b/internal/exchange/codec_internal_test.go
@@ -16,19 +16,19 @@
 func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := pool.Report{
-			ID:          rapid.Uint64().Draw(t, "id"),
-			Server:      rapid.StringMatching(`[a-z0-9#-]{1,20}`).Draw(t, "server"),
-			Phase:       pool.Phase(rapid.IntRange(int(pool.PhaseUnknown), int(pool.PhaseEnded)).Draw(t, "phase")),
-			PrefillTime: drawMilliseconds(t, 0, "work"),
-			Memory:      rapid.IntRange(0, 2_000_000).Draw(t, "memory"),
-			Gap:         drawMilliseconds(t, 0, "gap"),
-			Tight:       rapid.Bool().Draw(t, "tight"),
-			PrefillOnly: rapid.Bool().Draw(t, "helps"),
-			Age:         drawMilliseconds(t, 0, "age"),
-			Backoff:     drawMilliseconds(t, 0, "rest"),
-			Health:      pool.Health(rapid.IntRange(int(pool.HealthUnreported), int(pool.HealthNoRateLimit)).Draw(t, "health")),
-			PerSecond:   rapid.Float64Range(0, 1e6).Draw(t, "per second"),
-			Fingerprint: fingerprint.Fingerprint(rapid.Uint64().Draw(t, "fingerprint")),
+			ID:                  rapid.Uint64().Draw(t, "id"),
+			Server:              rapid.StringMatching(`[a-z0-9#-]{1,20}`).Draw(t, "server"),
+			Phase:               pool.Phase(rapid.IntRange(int(pool.PhaseUnknown), int(pool.PhaseEnded)).Draw(t, "phase")),
+			PrefillTime:         drawMilliseconds(t, 0, "work"),
+			Memory:              rapid.IntRange(0, 2_000_000).Draw(t, "memory"),
+			InterTokenObjective: drawMilliseconds(t, 0, "gap"),
+			Packable:            rapid.Bool().Draw(t, "tight"),
+			PrefillOnly:         rapid.Bool().Draw(t, "helps"),
+			Age:                 drawMilliseconds(t, 0, "age"),
+			Backoff:             drawMilliseconds(t, 0, "rest"),
+			Health:              pool.Health(rapid.IntRange(int(pool.HealthUnreported), int(pool.HealthNoRateLimit)).Draw(t, "health")),
+			PerSecond:           rapid.Float64Range(0, 1e6).Draw(t, "per second"),
+			Fingerprint:         fingerprint.Fingerprint(rapid.Uint64().Draw(t, "fingerprint")),
 		}
 		data, err := proto.Marshal(&wire.LoadUpdate{Sendings: encodeReports([]pool.Report{report})})
 		assert.NilError(t, err)
--- a/internal/exchange/discovery_test.go
+++ b/internal/exchange/discovery_test.go
@@ -65,7 +65,7 @@
 		defer storeregistry.mu.Unlock()
 		storeregistry.members[member.VM] = member
 	})
-	return storeregistry.answer(ctx, delay+storeWriteLatency+storeReadLatency)
+	return storeregistry.respond(ctx, delay+storeWriteLatency+storeReadLatency)
 }
 
 // List implements exchange.Registry.
@@ -78,11 +78,11 @@
 	pages := 1 + len(list)/storePageSize
 	storeregistry.calls += pages
 	storeregistry.mu.Unlock()
-	return list, storeregistry.answer(ctx, time.Duration(pages)*storeReadLatency)
+	return list, storeregistry.respond(ctx, time.Duration(pages)*storeReadLatency)
 }
 
 // respond returns after the given time or when ctx is done. While the store is unavailable, it waits for an hour.
-func (storeregistry *storeRegistry) answer(ctx context.Context, after time.Duration) error {
+func (storeregistry *storeRegistry) respond(ctx context.Context, after time.Duration) error {
 	storeregistry.mu.Lock()
 	if storeregistry.unavailable {
 		after = time.Hour
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -47,7 +47,7 @@
 	// HandleQuarantined handles the quarantine entries of another VM.
 	HandleQuarantined(entries []quarantine.Entry)
 	// StoreUnavailable reports whether the platform's store does not respond to this VM. Datagrams carry it in the field blind.
-	Blind() bool
+	StoreUnavailable() bool
 }
 
 // peer is what this VM has recorded of another VM.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func (sink *sink) Blind() bool {
+func (sink *sink) StoreUnavailable() bool {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
 	return sink.storeUnavailable
@@ -254,7 +254,7 @@
 func TestReportsReachPeers(t *testing.T) {
 	report := pool.Report{
 		ID: 7, Server: "s1", Phase: pool.PhaseDecode, PrefillTime: 1500 * time.Microsecond, Memory: 133_000,
-		Gap: 250 * time.Millisecond, Tight: true, PrefillOnly: true, Age: 20 * time.Millisecond,
+		InterTokenObjective: 250 * time.Millisecond, Packable: true, PrefillOnly: true, Age: 20 * time.Millisecond,
 	}
 	synctest.Test(t, func(t *testing.T) {
 		vms := newVMs(t, 2)
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -62,10 +62,10 @@
 		sink.HandleQuarantined(decodeQuarantined(update.GetQuarantined(), exchange.now()))
 	}
 	if len(update.GetAsks()) > 0 {
-		sink.HandleRequests(update.GetVm(), decodeAsks(update.GetAsks()))
+		sink.HandleRequests(update.GetVm(), decodeAssignmentRequests(update.GetAsks()))
 	}
 	if len(update.GetVerdicts()) > 0 {
-		sink.HandleResponses(update.GetVm(), decodeAnswers(update.GetVerdicts()))
+		sink.HandleResponses(update.GetVm(), decodeAssignmentResponses(update.GetVerdicts()))
 	}
 }
 
--- a/internal/exchange/registry.go
+++ b/internal/exchange/registry.go
@@ -127,7 +127,7 @@
 
 // awaitLivePeer waits for a datagram of a peer, which may be starting too, and reports whether one arrived in time.
 func (exchange *Exchange) awaitLivePeer(ctx context.Context) bool {
-	deadline := exchange.now().Add(wait.Jittered(peerAnswerTimeout))
+	deadline := exchange.now().Add(wait.Jittered(peerResponseTimeout))
 	for exchange.now().Before(deadline) {
 		if exchange.hasLivePeer() {
 			return true
@@ -195,7 +195,7 @@
 
 // peerResponseTimeout is how long a VM waits for a response of registered VMs before it registers itself, and how long after
 // a suspension the peers that were live before it count as live. Live peers respond within milliseconds.
-const peerAnswerTimeout = 150 * time.Millisecond
+const peerResponseTimeout = 150 * time.Millisecond
 
 // Resumed says hello to the peers after this VM was suspended for the given time. Peers that were live before count as
 // live for peerResponseTimeout, so that they have time to respond. Otherwise this VM would become its own coordinator and
@@ -206,7 +206,7 @@
 	for _, peer := range exchange.peers {
 		wasLive := !peer.lastSeen.IsZero() && now.Sub(peer.lastSeen)-suspended < exchange.settings.PeerTimeout
 		if wasLive && !exchange.live(peer) {
-			peer.lastSeen = now.Add(peerAnswerTimeout - exchange.settings.PeerTimeout)
+			peer.lastSeen = now.Add(peerResponseTimeout - exchange.settings.PeerTimeout)
 		}
 	}
 	exchange.mu.Unlock()
--- a/internal/exchange/send.go
+++ b/internal/exchange/send.go
@@ -72,14 +72,14 @@
 // SendRequest sends an assignment request to another VM, a coordinator. It sends nothing if the VM is unknown.
 func (exchange *Exchange) SendRequest(vm string, request dispatch.AssignmentRequest) {
 	update := exchange.update()
-	update.Asks = []*wire.Ask{encodeAsk(request)}
+	update.Asks = []*wire.Ask{encodeAssignmentRequest(request)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
 // SendResponse sends the decision on a request to the VM that the request came from. It sends nothing if the VM is unknown.
 func (exchange *Exchange) SendResponse(vm string, response dispatch.AssignmentResponse) {
 	update := exchange.update()
-	update.Verdicts = []*wire.Verdict{encodeAnswer(response)}
+	update.Verdicts = []*wire.Verdict{encodeAssignmentResponse(response)}
 	exchange.sendTo(exchange.addressOf(vm), update)
 }
 
@@ -88,7 +88,7 @@
 func (exchange *Exchange) pong(received *wire.LoadUpdate, address net.Addr, sink Sink) {
 	update := exchange.update()
 	update.UpMs = uint32(exchange.now().Sub(exchange.startedAt).Milliseconds()) //nolint:gosec // weeks at most
-	update.Blind = sink.Blind()
+	update.Blind = sink.StoreUnavailable()
 	update.Quarantined = encodeQuarantined(sink.Quarantined(), exchange.now())
 	update.Peers, update.Known, update.Heard = exchange.announcedCoordinators()
 	if received.GetHello() {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -61,14 +61,14 @@
 		Body:   forwarder.body,
 	}
 	response, err := gateway.upstream.Send(ctx, plan.Server.Address, request, func(header http.Header) bool {
-		return gateway.codec.Answer(http.StatusOK, header).ID == forwarder.head.ID
+		return gateway.codec.Response(http.StatusOK, header).ID == forwarder.head.ID
 	})
 	if err != nil {
 		return sendErrorResult(ctx, err)
 	}
-	decoded := gateway.codec.Answer(response.Status, response.Header)
+	decoded := gateway.codec.Response(response.Status, response.Header)
 	defer func() { response.Close(decoded.IdleTimeout) }()
-	activeAttempt := &activeAttempt{plan: plan, use: activeRequest, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
+	activeAttempt := &activeAttempt{plan: plan, activeRequest: activeRequest, response: response, watchdog: watchdog, responseTimeout: responseTimeout}
 	if decoded.Stream && decoded.Sealed && !decoded.ContentEncoded && response.Status/100 == 2 {
 		return forwarder.relay(ctx, activeAttempt)
 	}
@@ -173,7 +173,7 @@
 			buffered = nil
 		}
 		return result{
-			kind: resultUncertain, status: response.Status, answer: buffered,
+			kind: resultUncertain, status: response.Status, response: buffered,
 			err: errors.Newf("status %d", response.Status),
 		}
 	}
@@ -181,7 +181,7 @@
 		return result{kind: resultUncertain, status: response.Status, err: errors.New("response does not carry the mark that proves it came from the server")}
 	}
 	forwarder.writeBuffered(buffered)
-	return result{kind: resultAnswered, status: response.Status}
+	return result{kind: resultCompleted, status: response.Status}
 }
 
 // writeBuffered writes a whole response to the caller.
@@ -196,7 +196,7 @@
 // copyHeader copies the header of a server's response into the response to the caller.
 func (forwarder *forwarder) copyHeader(header http.Header) {
 	target := forwarder.writer.Header()
-	for name, values := range forwarder.gateway.codec.ClientHeader(header) {
+	for name, values := range forwarder.gateway.codec.CallerHeader(header) {
 		target[name] = values
 	}
 	if _, present := target["Content-Type"]; !present {
@@ -212,9 +212,9 @@
 
 // activeAttempt is an attempt whose server has started to respond.
 type activeAttempt struct {
-	plan     placement.Plan
-	use      *pool.ActiveRequest
-	response *upstream.Response
+	plan          placement.Plan
+	activeRequest *pool.ActiveRequest
+	response      *upstream.Response
 	// watchdog cancels the attempt when the server sends nothing for too long. It is nil if the
 	// attempt has no such limit.
 	watchdog *time.Timer
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -16,12 +16,12 @@
 	// ServerHeader returns the header to send to a server.
 	ServerHeader(header http.Header, dispatch call.Dispatch) http.Header
 	// Response decodes the status and header of a server's response.
-	Answer(status int, header http.Header) call.Response
+	Response(status int, header http.Header) call.Response
 	// Notice decodes what the addressed server states about itself in the header of a
 	// response.
 	Notice(status int, header http.Header) call.Notice
 	// CallerHeader returns the header to send to the caller for the header of a server's response.
-	ClientHeader(header http.Header) http.Header
+	CallerHeader(header http.Header) http.Header
 	// Refusal adds fields to the header of a response that the gateway itself generates. A zero
 	// retryAfter means that the response does not state when to retry.
 	Refusal(header http.Header, requestID string, retryAfter time.Duration)
--- a/internal/gateway/coordinated.go
+++ b/internal/gateway/coordinated.go
@@ -61,7 +61,7 @@
 			if response.RateLimited {
 				gateway.pool.WatchRateLimit(servers[0].ID)
 			}
-			plan := planFromAnswer(response, servers)
+			plan := planFromResponse(response, servers)
 			return plan, gateway.pool.StartWithID(id, plan, forwarder.placementRequest()), true
 		}
 		// Either the coordinator has not recorded yet that a server is draining, or this VM's pool
@@ -90,7 +90,7 @@
 }
 
 // planFromResponse returns the plan of the coordinator's decision, over the servers that it names.
-func planFromAnswer(response dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
+func planFromResponse(response dispatch.AssignmentResponse, servers []placement.Server) placement.Plan {
 	return placement.Plan{
 		Server: servers[0], Helpers: servers[1:], PrefillPerServer: response.PrefillPerServer, MemoryShares: response.MemoryShares,
 		PredictedTTFT: response.PredictedTTFT, Packable: response.Packable, Reason: placement.Reason(response.Reason),
@@ -108,7 +108,7 @@
 		return forwarder.deadline
 	}
 	if request.Packable() {
-		return forwarder.callerLeavesAt().Add(-request.MinTTFT())
+		return forwarder.callerDisconnectsAt().Add(-request.MinTTFT())
 	}
 	settings := forwarder.gateway.settings.Request
 	return forwarder.arrivedAt.Add(settings.QueueTimeExtra + time.Duration(min(
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -95,8 +95,8 @@
 type resultKind string
 
 const (
-	// resultAnswered: the caller received the whole response.
-	resultAnswered resultKind = "answered"
+	// resultCompleted: the caller received the whole response.
+	resultCompleted resultKind = "answered"
 	// resultNotRun: the server certainly did not execute the request.
 	resultNotRun resultKind = "not_run"
 	// resultUncertain: the server may have executed the request, in part or in whole.
@@ -131,7 +131,7 @@
 	// serverNotAtFault is true if the failure is not evidence against the server.
 	serverNotAtFault bool
 	// response is the server's response that is forwarded if no further attempt succeeds, or nil.
-	answer *bufferedResponse
+	response *bufferedResponse
 }
 
 // forward sends the request to servers until it has an outcome.
@@ -166,7 +166,7 @@
 		case resultServerUnavailable:
 			forwarder.gateway.logger.Info("planned server stopped accepting requests; placing the request again", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
 			continue
-		case resultAnswered, resultNotRun, resultUncertain, resultTruncated:
+		case resultCompleted, resultNotRun, resultUncertain, resultTruncated:
 		}
 		forwarder.sends++
 		if !result.notSent {
@@ -235,7 +235,7 @@
 	gateway := forwarder.gateway
 	gateway.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	forwarder.lastResult = result
-	if result.kind == resultAnswered {
+	if result.kind == resultCompleted {
 		gateway.pool.RecordSuccess(plan.Server.ID, forwarder.fingerprint)
 		gateway.quarantine.RecordCompletion(forwarder.fingerprint, plan.Server.ID)
 		return outcome{status: result.status, responseWritten: true, server: plan.Server.ID}, true
@@ -297,7 +297,7 @@
 	if forwarder.responseStarted {
 		return outcome{status: http.StatusOK, reason: reason, mayHaveRun: true, responseWritten: true, truncated: true}
 	}
-	if buffered := forwarder.lastResult.answer; buffered != nil {
+	if buffered := forwarder.lastResult.response; buffered != nil {
 		forwarder.writeBuffered(buffered)
 		return outcome{status: buffered.status, reason: reason, mayHaveRun: true, responseWritten: true}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -167,7 +167,7 @@
 	gateway.upstream = upstream.New(settings.Upstream, hostNetwork, notices{gateway}, now)
 	gateway.coordinator = coordinator.New(settings.Coordinator, site.VM, gateway.policy, gateway.pool, gateway.service,
 		&sharedRetries{gateway: gateway, budgets: make(map[string]*sharedBudget)}, exchange, now)
-	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxHold(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
+	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxTTL(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
 	gateway.metrics = newMetrics(gateway)
 	gateway.bounds.Store(&site.Bounds)
 	transport := network.NewTransport(hostNetwork)
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -26,7 +26,7 @@
 var _ exchange.Sink = peerSink{}
 
 // StoreUnavailable implements exchange.Sink. It reports whether the last read of any source failed.
-func (peerSink peerSink) Blind() bool {
+func (peerSink peerSink) StoreUnavailable() bool {
 	for _, tail := range peerSink.tails {
 		if tail.Lost() {
 			return true
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -89,10 +89,10 @@
 func (forwarder *forwarder) placementRequest() placement.Request {
 	request := placement.Request{
 		DataCentre:                  forwarder.gateway.site.DataCentre,
-		InterTokenObjective:         forwarder.route.Gap,
-		ShortestInterTokenObjective: forwarder.service.ShortestGap,
+		InterTokenObjective:         forwarder.route.InterTokenObjective,
+		ShortestInterTokenObjective: forwarder.service.ShortestInterTokenObjective,
 		Objective:                   forwarder.route.Objective,
-		TimeToCallerDeadline:        forwarder.callerLeavesAt().Sub(forwarder.gateway.now()),
+		TimeToCallerDeadline:        forwarder.callerDisconnectsAt().Sub(forwarder.gateway.now()),
 		Seed:                        forwarder.seed + uint64(forwarder.sends), //nolint:gosec // never negative
 	}
 	if forwarder.head.Prompt != nil {
@@ -115,9 +115,9 @@
 // Callers abandon a stream after the longest of these three times without an event, as the users
 // state it: a minimum, a multiple of the objective and a multiple of the inter-token objective.
 const (
-	callerTimeoutMin        = 2 * time.Second
-	callerTimeoutObjectives = 4
-	callerTimeoutGaps       = 8
+	callerTimeoutMin                  = 2 * time.Second
+	callerTimeoutObjectives           = 4
+	callerTimeoutInterTokenObjectives = 8
 )
 
 // nextEventDeadline returns the deadline of the next event: the first event is due within the
@@ -129,7 +129,7 @@
 func (forwarder *forwarder) nextEventDeadline(packable bool) time.Time {
 	switch {
 	case !forwarder.timings.lastEventAt.IsZero():
-		return forwarder.timings.lastEventAt.Add(forwarder.route.Gap)
+		return forwarder.timings.lastEventAt.Add(forwarder.route.InterTokenObjective)
 	case packable:
 		return forwarder.firstTriedAt.Add(forwarder.route.Objective)
 	default:
@@ -137,13 +137,13 @@
 	}
 }
 
-// callerLeavesAt returns when the caller disconnects unless it receives an event before.
-func (forwarder *forwarder) callerLeavesAt() time.Time {
+// callerDisconnectsAt returns when the caller disconnects unless it receives an event before.
+func (forwarder *forwarder) callerDisconnectsAt() time.Time {
 	since := forwarder.arrivedAt
 	if !forwarder.timings.lastEventAt.IsZero() {
 		since = forwarder.timings.lastEventAt
 	}
-	until := since.Add(max(callerTimeoutMin, callerTimeoutObjectives*forwarder.route.Objective, callerTimeoutGaps*forwarder.route.Gap))
+	until := since.Add(max(callerTimeoutMin, callerTimeoutObjectives*forwarder.route.Objective, callerTimeoutInterTokenObjectives*forwarder.route.InterTokenObjective))
 	if forwarder.deadline.Before(until) {
 		return forwarder.deadline
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -16,7 +16,7 @@
 // identifies what was forwarded, and another server may resume it.
 func (forwarder *forwarder) relay(ctx context.Context, activeAttempt *activeAttempt) result {
 	reader := events.NewReader(activeAttempt.response)
-	streamTimeout := forwarder.gateway.settings.Request.streamTimeout(forwarder.route.Gap)
+	streamTimeout := forwarder.gateway.settings.Request.streamTimeout(forwarder.route.InterTokenObjective)
 	first := true
 	for {
 		event, err := reader.Next()
@@ -29,10 +29,10 @@
 		if first {
 			first = false
 			forwarder.receivedEvent.Store(true)
-			activeAttempt.use.FinishPrefill()
+			activeAttempt.activeRequest.FinishPrefill()
 			forwarder.recordFirstEvent(activeAttempt)
 		}
-		activeAttempt.use.RecordEvent()
+		activeAttempt.activeRequest.RecordEvent()
 		if !isNewEvent(event.ID, forwarder.lastEvent) {
 			activeAttempt.restartWatchdog(streamTimeout)
 			continue
@@ -73,7 +73,7 @@
 // finishStream completes the response. It writes the header if the stream had no events.
 func (forwarder *forwarder) finishStream(activeAttempt *activeAttempt) result {
 	forwarder.startResponse(activeAttempt)
-	return result{kind: resultAnswered, status: http.StatusOK}
+	return result{kind: resultCompleted, status: http.StatusOK}
 }
 
 // startResponse writes the header of the first server's response. It does nothing if a header was
@@ -112,7 +112,7 @@
 	}
 	now := forwarder.gateway.now()
 	if now.Sub(startedAt) > slowWriteThreshold {
-		activeAttempt.use.ResetEventTimer()
+		activeAttempt.activeRequest.ResetEventTimer()
 	}
 	activeAttempt.callerStalled = activeAttempt.callerStalled || now.Sub(startedAt) > stalledWriteThreshold
 	forwarder.timings.passEvent(forwarder.arrivedAt, now)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -259,8 +259,8 @@
 		"organisation", admitted.organisationName(),
 		"fingerprint", forwarder.fingerprint, "status", outcome.status, "reason", outcome.reason, "may_have_run", outcome.mayHaveRun,
 		"server", outcome.server, "broken", outcome.truncated, "took", duration,
-		"tokens", admitted.promptTokens(), "objective", route.Objective, "gap", route.Gap, "sends", forwarder.sends,
+		"tokens", admitted.promptTokens(), "objective", route.Objective, "gap", route.InterTokenObjective, "sends", forwarder.sends,
 		"waited", forwarder.timings.waited, "placed", forwarder.timings.placedAfter, "predicted", forwarder.timings.predicted,
-		"first", forwarder.timings.firstEventAfter, "pause", forwarder.timings.longestGap,
+		"first", forwarder.timings.firstEventAfter, "pause", forwarder.timings.longestPause,
 		"version", version, "version_age", age)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -70,10 +70,10 @@
 	FirstEventMargin time.Duration `yaml:"silence" validate:"min=10ms"`
 	FirstEventFactor float64       `yaml:"silence_part" validate:"min=0"`
 	// StreamTimeoutMin is the shortest time without an event after which a stream is resumed on
-	// another server. StreamTimeoutGaps gives the same time as a multiple of the route's inter-token
+	// another server. StreamTimeoutFactor gives the same time as a multiple of the route's inter-token
 	// objective; the longer of the two applies.
-	StreamTimeoutMin  time.Duration `yaml:"gap_min" validate:"min=10ms"`
-	StreamTimeoutGaps float64       `yaml:"gap_times" validate:"min=1"`
+	StreamTimeoutMin    time.Duration `yaml:"gap_min" validate:"min=10ms"`
+	StreamTimeoutFactor float64       `yaml:"gap_times" validate:"min=1"`
 	// RetryAfterMin and RetryAfterMax bound the random delay after which a refused caller may
 	// retry.
 	RetryAfterMin time.Duration `yaml:"retry_after_min" validate:"min=0"`
@@ -105,7 +105,7 @@
 // streamTimeout returns after how long without an event a stream is abandoned, where pauses of up
 // to interTokenObjective meet the objective.
 func (settings RequestSettings) streamTimeout(interTokenObjective time.Duration) time.Duration {
-	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(interTokenObjective)))
+	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutFactor*float64(interTokenObjective)))
 }
 
 // DrainSettings are the parameters of a planned stop.
@@ -158,7 +158,7 @@
 			FirstEventMargin:       900 * time.Millisecond,
 			FirstEventFactor:       2,
 			StreamTimeoutMin:       1600 * time.Millisecond,
-			StreamTimeoutGaps:      4,
+			StreamTimeoutFactor:    4,
 			RetryAfterMin:          200 * time.Millisecond,
 			RetryAfterMax:          600 * time.Millisecond,
 			StartupWait:            400 * time.Millisecond,
--- a/internal/gateway/timings.go
+++ b/internal/gateway/timings.go
@@ -15,7 +15,7 @@
 	// arrival; zero means that it received none.
 	firstEventAfter time.Duration
 	// longestPause is the longest time between two events that the caller received.
-	longestGap time.Duration
+	longestPause time.Duration
 	// lastEventAt is when the caller received the last event.
 	lastEventAt time.Time
 }
@@ -33,7 +33,7 @@
 	if timings.lastEventAt.IsZero() {
 		timings.firstEventAfter = now.Sub(arrivedAt)
 	} else {
-		timings.longestGap = max(timings.longestGap, now.Sub(timings.lastEventAt))
+		timings.longestPause = max(timings.longestPause, now.Sub(timings.lastEventAt))
 	}
 	timings.lastEventAt = now
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -41,7 +41,7 @@
 // costs returns the servers with the cost of prefilling a part there, in buffer. It leaves out
 // servers where the part would make streams time out.
 func (lengthaware LengthAware) costs(buffer []candidate, servers []Server, request Request, part time.Duration) []candidate {
-	lostFraction := 1 - lengthaware.settings.LatePart
+	lostFraction := 1 - lengthaware.settings.LateValueFraction
 	costed := buffer[:0]
 	for i := range servers {
 		server := &servers[i]
@@ -50,7 +50,7 @@
 			continue
 		}
 		// Packable requests that arrive during the prefill of the part wait for it.
-		cost := lostFraction * server.PackableWeight * part.Seconds() / lengthaware.settings.TightLife.Seconds()
+		cost := lostFraction * server.PackableWeight * part.Seconds() / lengthaware.settings.PackableDuration.Seconds()
 		// The pass costs only streams whose objective for inter-token latency is shorter.
 		// Objectives differ between kinds of request.
 		if server.PackableInterTokenObjective > 0 && pass > server.PackableInterTokenObjective {
--- a/internal/placement/lengthaware.go
+++ b/internal/placement/lengthaware.go
@@ -82,8 +82,8 @@
 			return plan, true
 		}
 	}
-	maxDelay := time.Duration(lengthaware.settings.Patience * float64(request.Objective))
-	if request.TimeToObjective >= -maxDelay && request.TimeToCallerDeadline >= lengthaware.settings.StaySpare {
+	maxDelay := time.Duration(lengthaware.settings.MaxLateObjectives * float64(request.Objective))
+	if request.TimeToObjective >= -maxDelay && request.TimeToCallerDeadline >= lengthaware.settings.MinTimeToCallerDeadline {
 		return Plan{}, false
 	}
 	// A request that has been queued long enough may go to any server, but never where the cost
@@ -98,14 +98,14 @@
 	if request.TimeToObjective < 0 {
 		return gain > 0
 	}
-	return gain > lengthaware.settings.GoodGain*Weight(request.Memory)
+	return gain > lengthaware.settings.MinGainFraction*Weight(request.Memory)
 }
 
 // bestLongPlan returns the plan with the highest gain over the given servers, its gain, and whether
 // there is one.
 func (lengthaware LengthAware) bestLongPlan(servers []Server, request Request) (Plan, float64, bool) {
 	prefill := request.Engine.PrefillTime(request.Tokens)
-	maxParts := min(lengthaware.settings.MaxParts, len(servers), max(1, int(prefill/decodePasses(request.Engine, lengthaware.settings.PartPasses))))
+	maxParts := min(lengthaware.settings.MaxParts, len(servers), max(1, int(prefill/decodePasses(request.Engine, lengthaware.settings.MinPartPasses))))
 	best, bestGain, found := Plan{}, 0.0, false
 	buffer := make([]candidate, 0, len(servers))
 	for parts := 1; parts <= maxParts; parts++ {
@@ -127,9 +127,9 @@
 func (lengthaware LengthAware) withinBacklogLimit(servers []Server) []Server {
 	available := make([]Server, 0, len(servers))
 	for _, server := range servers {
-		limit := lengthaware.settings.Room
+		limit := lengthaware.settings.MaxBacklog
 		if server.PrefillsLong {
-			limit = lengthaware.settings.LongRoom
+			limit = lengthaware.settings.MaxLongBacklog
 		}
 		if server.Backlog <= limit {
 			available = append(available, server)
@@ -145,11 +145,11 @@
 	switch {
 	case plan.PredictedTTFT > request.TimeToCallerDeadline:
 		return 0
-	case plan.PredictedTTFT > time.Duration(lengthaware.settings.AimPart*float64(request.TimeToObjective)):
-		return lengthaware.settings.LatePart * value
+	case plan.PredictedTTFT > time.Duration(lengthaware.settings.InTimeFraction*float64(request.TimeToObjective)):
+		return lengthaware.settings.LateValueFraction * value
 	}
 	risk := float64(plan.PredictedTTFT) / float64(request.TimeToObjective)
-	return value * (1 - lengthaware.settings.RiskPart*risk)
+	return value * (1 - lengthaware.settings.RiskFraction*risk)
 }
 
 // planForParts returns the plan over the servers with the lowest cost, and its total cost. One of
--- a/internal/placement/packable.go
+++ b/internal/placement/packable.go
@@ -33,7 +33,7 @@
 		PredictedTTFT: best.Backlog + prefill + request.Engine.PassTime(0, 0),
 	}
 	// A slot at another server is freed sooner than this server finishes its prefill.
-	queued := !fits && plan.PredictedTTFT > max(request.TimeToObjective, lengthaware.settings.TightHold)
+	queued := !fits && plan.PredictedTTFT > max(request.TimeToObjective, lengthaware.settings.MaxPackableTTFT)
 	return plan, ok && !queued
 }
 
@@ -62,7 +62,7 @@
 	if len(eligible) == 0 {
 		return Server{}, false, false
 	}
-	near := decodePasses(request.Engine, lengthaware.settings.NearPasses)
+	near := decodePasses(request.Engine, lengthaware.settings.NearlyEqualPasses)
 	leastLoaded := slices.MinFunc(eligible, compareLoad(near))
 	eligible = slices.DeleteFunc(eligible, func(server *Server) bool { return !lengthaware.nearlyEqual(server, leastLoaded, near) })
 	return *chooseBySeed(preferConnected(eligible), request.Seed), bestFits, true
@@ -111,7 +111,7 @@
 
 // nearlyEqual reports whether a server is as good for a packable request as the least busy one.
 func (lengthaware LengthAware) nearlyEqual(server, leastLoaded *Server, near time.Duration) bool {
-	return server.Backlog/near == leastLoaded.Backlog/near && server.Running <= leastLoaded.Running+lengthaware.settings.NearRunning
+	return server.Backlog/near == leastLoaded.Backlog/near && server.Running <= leastLoaded.Running+lengthaware.settings.NearlyEqualRunning
 }
 
 // compareLoad orders servers by prefill backlog in units of near, then by running requests.
@@ -127,11 +127,11 @@
 // fill to PackDense.
 func (lengthaware LengthAware) packedCount(servers []Server, request Request) int {
 	settings := lengthaware.settings
-	sparse := filledCount(servers, settings.PackSlots) + settings.KeepSpare
+	sparse := filledCount(servers, settings.PackSlots) + settings.SparePackedServers
 	dense := filledCount(servers, settings.PackDense)
-	wantedByLong := int(longPrefill(servers, request) / settings.LongTime)
+	wantedByLong := int(longPrefill(servers, request) / settings.LongPrefillPerServer)
 	count := max(dense, min(sparse, len(servers)-wantedByLong))
-	return min(count, max(1, len(servers)-settings.LeaveLong), len(servers))
+	return min(count, max(1, len(servers)-settings.MinUnpackedServers), len(servers))
 }
 
 // filledCount returns how many servers the running packable requests fill, if each server is filled
@@ -168,7 +168,7 @@
 func (lengthaware LengthAware) pass(server *Server, request Request, part time.Duration) time.Duration {
 	engine := request.Engine
 	context := max(0, engine.MemoryTokens-server.MemoryFree)
-	return engine.PassTime(server.Running, context) + lengthaware.settings.PassSpare + server.Backlog + part
+	return engine.PassTime(server.Running, context) + lengthaware.settings.PassTimeMargin + server.Backlog + part
 }
 
 // meetsInterTokenObjectives reports whether all streams at a server, and the request itself if
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -11,55 +11,55 @@
 	// PackDense is the fraction used instead of PackSlots while long prompts need servers, which
 	// they would not find in a burst of short ones. One server is wanted for each
 	// LongPrefillPerServer of prefill that is queued or in progress.
-	PackDense float64       `yaml:"pack_dense" validate:"max=1,gtefield=PackSlots"`
-	LongTime  time.Duration `yaml:"long_time" validate:"min=10ms"`
+	PackDense            float64       `yaml:"pack_dense" validate:"max=1,gtefield=PackSlots"`
+	LongPrefillPerServer time.Duration `yaml:"long_time" validate:"min=10ms"`
 	// SparePackedServers is the number of servers, beside the filled ones, that are set apart for
 	// packable requests. MinUnpackedServers is the number of servers that are never set apart.
-	KeepSpare int `yaml:"keep_spare" validate:"min=0"`
-	LeaveLong int `yaml:"leave_long" validate:"min=0"`
+	SparePackedServers int `yaml:"keep_spare" validate:"min=0"`
+	MinUnpackedServers int `yaml:"leave_long" validate:"min=0"`
 	// NearlyEqualPasses is the difference in prefill backlog up to which servers count as equally
 	// busy, as a multiple of a forward pass without prefill.
-	NearPasses float64 `yaml:"near_passes" validate:"min=0.01"`
+	NearlyEqualPasses float64 `yaml:"near_passes" validate:"min=0.01"`
 	// NearlyEqualRunning is the difference in running requests up to which servers count as equally
 	// busy.
-	NearRunning int `yaml:"near_running" validate:"min=0"`
+	NearlyEqualRunning int `yaml:"near_running" validate:"min=0"`
 	// PassTimeMargin is added to the predicted time of a forward pass. It allows for requests that
 	// other VMs have just sent, which are not known here yet.
-	PassSpare time.Duration `yaml:"pass_spare" validate:"min=0"`
+	PassTimeMargin time.Duration `yaml:"pass_spare" validate:"min=0"`
 	// MaxParts is the maximum number of servers that prefill one prompt.
 	MaxParts int `yaml:"max_parts" validate:"min=1,max=17"`
 	// MinPartPasses is the minimum prefill per server of a prompt split over several, as a multiple
 	// of a forward pass without prefill. Smaller parts shorten no pass, since a part waits for the
 	// next pass to begin.
-	PartPasses float64 `yaml:"part_passes" validate:"min=0.01"`
+	MinPartPasses float64 `yaml:"part_passes" validate:"min=0.01"`
 	// MaxBacklog is the maximum prefill backlog of a server that gets a part of another long
 	// prompt.
-	Room time.Duration `yaml:"room" validate:"min=0"`
+	MaxBacklog time.Duration `yaml:"room" validate:"min=0"`
 	// MaxLongBacklog is the same limit for a server that is prefilling another long prompt. Parts
 	// on several servers are prefilled before the prompt on one, and late parts delay the others.
-	LongRoom time.Duration `yaml:"long_room" validate:"min=0"`
+	MaxLongBacklog time.Duration `yaml:"long_room" validate:"min=0"`
 	// PackableDuration is the typical duration of a packable request.
-	TightLife time.Duration `yaml:"tight_life" validate:"min=1ms"`
+	PackableDuration time.Duration `yaml:"tight_life" validate:"min=1ms"`
 	// MaxPackableTTFT is the maximum predicted time to first token with which a packable request is
 	// sent to a server where inter-token objectives will be missed.
-	TightHold time.Duration `yaml:"tight_hold" validate:"min=0"`
+	MaxPackableTTFT time.Duration `yaml:"tight_hold" validate:"min=0"`
 	// LateValueFraction is the fraction of its value that a late request keeps.
-	LatePart float64 `yaml:"late_part" validate:"min=0,max=1"`
+	LateValueFraction float64 `yaml:"late_part" validate:"min=0,max=1"`
 	// MinGainFraction is the minimum gain of a plan, as a fraction of the request's value, while
 	// the request can still meet its objective.
-	GoodGain float64 `yaml:"good_gain" validate:"min=0,max=1"`
+	MinGainFraction float64 `yaml:"good_gain" validate:"min=0,max=1"`
 	// InTimeFraction is the fraction of the remaining time within which the predicted time to first
 	// token must lie to count as in time.
-	AimPart float64 `yaml:"aim_part" validate:"min=0.1,max=1"`
+	InTimeFraction float64 `yaml:"aim_part" validate:"min=0.1,max=1"`
 	// RiskFraction is the fraction of the request's value that a plan loses when it takes all of
 	// the remaining time.
-	RiskPart float64 `yaml:"risk_part" validate:"min=0,max=1"`
+	RiskFraction float64 `yaml:"risk_part" validate:"min=0,max=1"`
 	// MaxLateObjectives is the maximum time past its objective for which a prompt stays queued, as
 	// a multiple of the objective.
-	Patience float64 `yaml:"patience" validate:"min=0"`
+	MaxLateObjectives float64 `yaml:"patience" validate:"min=0"`
 	// MinTimeToCallerDeadline is the minimum time to the caller's deadline for a prompt to stay
 	// queued.
-	StaySpare time.Duration `yaml:"stay_spare" validate:"min=0"`
+	MinTimeToCallerDeadline time.Duration `yaml:"stay_spare" validate:"min=0"`
 
 	// streamTimeout returns, for an inter-token objective, the pause after which a stream times
 	// out. It is nil when streams never time out.
@@ -78,25 +78,25 @@
 // ones.
 func DefaultSettings() Settings {
 	return Settings{
-		PackSlots:   0.8,
-		PackDense:   0.95,
-		LongTime:    time.Second,
-		KeepSpare:   1,
-		LeaveLong:   1,
-		NearPasses:  1,
-		NearRunning: 3,
-		PassSpare:   30 * time.Millisecond,
-		MaxParts:    MaxParts,
-		PartPasses:  0.4,
-		Room:        100 * time.Millisecond,
-		LongRoom:    20 * time.Millisecond,
-		TightLife:   1800 * time.Millisecond,
-		TightHold:   500 * time.Millisecond,
-		LatePart:    0.25,
-		GoodGain:    0.5,
-		AimPart:     0.9,
-		RiskPart:    0.1,
-		Patience:    2,
-		StaySpare:   time.Second,
+		PackSlots:               0.8,
+		PackDense:               0.95,
+		LongPrefillPerServer:    time.Second,
+		SparePackedServers:      1,
+		MinUnpackedServers:      1,
+		NearlyEqualPasses:       1,
+		NearlyEqualRunning:      3,
+		PassTimeMargin:          30 * time.Millisecond,
+		MaxParts:                MaxParts,
+		MinPartPasses:           0.4,
+		MaxBacklog:              100 * time.Millisecond,
+		MaxLongBacklog:          20 * time.Millisecond,
+		PackableDuration:        1800 * time.Millisecond,
+		MaxPackableTTFT:         500 * time.Millisecond,
+		LateValueFraction:       0.25,
+		MinGainFraction:         0.5,
+		InTimeFraction:          0.9,
+		RiskFraction:            0.1,
+		MaxLateObjectives:       2,
+		MinTimeToCallerDeadline: time.Second,
 	}
 }
--- a/internal/pool/active_request.go
+++ b/internal/pool/active_request.go
@@ -36,9 +36,9 @@
 	Memory int
 	// InterTokenObjective is the longest time between two events that meets the objective, or zero
 	// for none.
-	Gap time.Duration
+	InterTokenObjective time.Duration
 	// Packable is set for a short request, see placement.Request.Packable.
-	Tight bool
+	Packable bool
 	// PrefillOnly is set where the server only prefills a part of the prompt for another server.
 	PrefillOnly bool
 	// Age is the time since the request was sent or, with HealthConnectionLost, since the
@@ -143,7 +143,7 @@
 	now := pool.now()
 	activeRequest := &ActiveRequest{pool: pool}
 	if request.Engine != nil {
-		activeRequest.passTime = request.Engine.PassTime(0, 0) + pool.settings.PassSpare
+		activeRequest.passTime = request.Engine.PassTime(0, 0) + pool.settings.PassTimeMargin
 	}
 	for _, report := range newReports(id, plan, request) {
 		activeRequest.attemptIDs = append(activeRequest.attemptIDs, report.ID)
@@ -159,7 +159,7 @@
 	list := make([]Report, 0, 1+len(plan.Helpers))
 	list = append(list, Report{
 		Server: plan.Server.ID, Phase: PhasePrefill, PrefillTime: plan.PrefillPerServer,
-		Memory: request.Memory, Gap: request.InterTokenObjective, Tight: plan.Packable,
+		Memory: request.Memory, InterTokenObjective: request.InterTokenObjective, Packable: plan.Packable,
 	})
 	for _, helper := range plan.Helpers {
 		list = append(list, Report{Server: helper.ID, Phase: PhasePrefill, PrefillTime: plan.PrefillPerServer, PrefillOnly: true})
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -42,7 +42,7 @@
 		}})
 		for range 8 {
 			reports = append(reports, pool.Report{
-				ID: uint64(len(reports)), Server: id, Phase: pool.PhaseDecode, Memory: 5000, Gap: time.Second, Pace: 1.1,
+				ID: uint64(len(reports)), Server: id, Phase: pool.PhaseDecode, Memory: 5000, InterTokenObjective: time.Second, Pace: 1.1,
 			})
 		}
 	}
--- a/internal/pool/limit.go
+++ b/internal/pool/limit.go
@@ -165,7 +165,7 @@
 // reported so late that they may have been counted before are not counted again.
 func (pool *Pool) insertAndCount(server *server, added *attempt, now time.Time) {
 	server.insert(added)
-	if now.Sub(added.sentAt) >= pool.settings.RemoteTime {
+	if now.Sub(added.sentAt) >= pool.settings.RemoteReportTTL {
 		return
 	}
 	for _, limit := range pool.activeLimits(server, now) {
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -138,7 +138,7 @@
 	if server.missingSince.IsZero() {
 		return false
 	}
-	maybeStale := pool.sourceLost || now.Before(pool.sourceRegainedAt.Add(pool.settings.ReturnTime))
+	maybeStale := pool.sourceLost || now.Before(pool.sourceRegainedAt.Add(pool.settings.ListRecoveryTime))
 	return !maybeStale
 }
 
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -91,7 +91,7 @@
 	var expired []placement.Server
 	limited := 0
 	share := sync.OnceValue(pool.publisher.Share)
-	slow := pool.settings.SlowTimes * pool.medianPace(service, now)
+	slow := pool.settings.SlowPaceFactor * pool.medianPace(service, now)
 	for _, server := range pool.byService[service.Name] {
 		if !pool.acceptsRequests(server, now) || slices.Contains(tried, server.entry.ID) {
 			continue
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -226,7 +226,7 @@
 // TestRemoteAttempts guards against counting other VMs' requests wrongly when their reports are
 // repeated, delayed or lost.
 func TestRemoteAttempts(t *testing.T) {
-	report := pool.Report{ID: 7, Server: "s1", PrefillTime: time.Second, Memory: 1000, Tight: true}
+	report := pool.Report{ID: 7, Server: "s1", PrefillTime: time.Second, Memory: 1000, Packable: true}
 	with := func(phase pool.Phase) []pool.Report {
 		changed := report
 		changed.Phase = phase
--- a/internal/pool/reports.go
+++ b/internal/pool/reports.go
@@ -62,7 +62,7 @@
 
 // dropExpired drops other VMs' attempts that were not reported for Settings.RemoteReportTTL.
 func (pool *Pool) dropExpired(server *server, now time.Time) {
-	expiry := now.Add(-pool.settings.RemoteTime)
+	expiry := now.Add(-pool.settings.RemoteReportTTL)
 	kept := server.attempts[:0]
 	for _, attempt := range server.attempts {
 		if attempt.vm == pool.vm || !attempt.reportedAt.Before(expiry) {
--- a/internal/pool/server.go
+++ b/internal/pool/server.go
@@ -65,12 +65,12 @@
 	for _, attempt := range server.attempts {
 		if !attempt.PrefillOnly {
 			snapshot.Running++
-			snapshot.MinInterTokenObjective = shorter(snapshot.MinInterTokenObjective, attempt.Gap)
+			snapshot.MinInterTokenObjective = shorter(snapshot.MinInterTokenObjective, attempt.InterTokenObjective)
 			addWeight(&snapshot, attempt)
 		}
 		snapshot.MemoryFree -= attempt.Memory
 		if attempt.Phase == PhasePrefill {
-			snapshot.PrefillsLong = snapshot.PrefillsLong || !attempt.Tight
+			snapshot.PrefillsLong = snapshot.PrefillsLong || !attempt.Packable
 			idleAt = later(idleAt, attempt.sentAt).Add(attempt.PrefillTime)
 			overdue = max(overdue, now.Sub(idleAt)-settings.overdueAfter(attempt.PrefillTime))
 		}
@@ -87,14 +87,14 @@
 // addWeight adds the weight of an attempt to the snapshot's sums.
 func addWeight(snapshot *placement.Server, attempt *attempt) {
 	weight := placement.Weight(attempt.Memory)
-	if attempt.Tight {
+	if attempt.Packable {
 		snapshot.Packable++
 		snapshot.PackableWeight += weight
-		snapshot.PackableInterTokenObjective = shorter(snapshot.PackableInterTokenObjective, attempt.Gap)
+		snapshot.PackableInterTokenObjective = shorter(snapshot.PackableInterTokenObjective, attempt.InterTokenObjective)
 		return
 	}
 	snapshot.OtherWeight += weight
-	snapshot.OtherInterTokenObjective = shorter(snapshot.OtherInterTokenObjective, attempt.Gap)
+	snapshot.OtherInterTokenObjective = shorter(snapshot.OtherInterTokenObjective, attempt.InterTokenObjective)
 }
 
 // pendingPrefill is the total prefill time of the attempts without an event so far.
@@ -111,7 +111,7 @@
 // updatePace adds the ratio of observed to expected time of one event interval to the pace.
 func (server *server) updatePace(ratio float64, now time.Time, settings Settings) {
 	current := server.currentPace(now, settings)
-	server.pace = current + settings.PaceGain*(ratio-current)
+	server.pace = current + settings.PaceWeight*(ratio-current)
 	server.paceUpdatedAt = now
 }
 
@@ -121,7 +121,7 @@
 	if server.paceUpdatedAt.IsZero() {
 		return 1
 	}
-	halfLives := now.Sub(server.paceUpdatedAt).Seconds() / settings.PaceHalf.Seconds()
+	halfLives := now.Sub(server.paceUpdatedAt).Seconds() / settings.PaceHalfLife.Seconds()
 	return 1 + (server.pace-1)*math.Exp2(-halfLives)
 }
 
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -82,7 +82,7 @@
 // PublishableEntries returns the entries to report to other VMs: those in force, and those that
 // ended within Settings.RepublishTime, since they may have been lifted.
 func (tracker *Tracker) PublishableEntries() []Entry {
-	return tracker.entriesAfter(-tracker.settings.Repeat)
+	return tracker.entriesAfter(-tracker.settings.RepublishTime)
 }
 
 // entriesAfter returns the entries whose remaining time is longer than the given one, the newest
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -99,13 +99,13 @@
 	}
 	switch {
 	case request.successes != nil:
-		return evidence.countBlamed(request, evidence.unexplainedCrashes) >= evidence.settings.Certain
+		return evidence.countBlamed(request, evidence.unexplainedCrashes) >= evidence.settings.CertainLimit
 	case request.entry != nil:
 		return evidence.countMoments(evidence.crashesOnProbation(request)) > 0
 	default:
 		// A wave of crashes cannot hide the request permanently.
 		return evidence.countBlamed(request, evidence.unexplainedCrashes) >= evidence.settings.Limit ||
-			evidence.countBlamed(request, allCrashes) >= evidence.settings.Certain
+			evidence.countBlamed(request, allCrashes) >= evidence.settings.CertainLimit
 	}
 }
 
@@ -122,7 +122,7 @@
 	if request.successes == nil {
 		return false
 	}
-	decayedCount := request.successes.current(evidence.now, evidence.settings.GoodHalf)
+	decayedCount := request.successes.current(evidence.now, evidence.settings.SuccessHalfLife)
 	return decayedCount >= float64(evidence.countMoments(request.crashes))
 }
 
@@ -161,7 +161,7 @@
 // countMoments returns the number of distinct moments of crashes. Crashes within Settings.Moment of
 // each other are one moment. Those more recent than Settings.EvaluationDelay are left out so far.
 func (evidence evidence) countMoments(crashes []*crash) int {
-	latest := evidence.now.Add(-evidence.settings.Settle)
+	latest := evidence.now.Add(-evidence.settings.EvaluationDelay)
 	moments := 0
 	var last time.Time
 	for _, crash := range crashes {
--- a/internal/quarantine/observation.go
+++ b/internal/quarantine/observation.go
@@ -34,7 +34,7 @@
 }
 
 func (tracker *Tracker) recentLosses() []Loss {
-	oldest := tracker.now().Add(-tracker.settings.Repeat)
+	oldest := tracker.now().Add(-tracker.settings.RepublishTime)
 	return slices.DeleteFunc(tracker.own, func(loss Loss) bool { return loss.At.Before(oldest) })
 }
 
@@ -49,12 +49,12 @@
 		count = &successes{at: now}
 		tracker.successes.Add(request, count)
 	}
-	count.add(now, tracker.settings.GoodHalf)
+	count.add(now, tracker.settings.SuccessHalfLife)
 	if suspect, found := tracker.suspects.Peek(request); found {
 		suspect.successes = count
 	}
 	tracker.lift(request, now)
-	for _, lost := range between(tracker.crashes, now.Add(-tracker.settings.Alive), now.Add(-tracker.settings.Settle)) {
+	for _, lost := range between(tracker.crashes, now.Add(-tracker.settings.RefutationWindow), now.Add(-tracker.settings.EvaluationDelay)) {
 		lost.refuted = lost.refuted || lost.server == server
 	}
 }
@@ -83,7 +83,7 @@
 // crashFor returns the crash that a loss belongs to, and adds it if none is nearby in time: a
 // server may restart under its ID.
 func (tracker *Tracker) crashFor(loss Loss) *crash {
-	nearby := between(tracker.crashes, loss.At.Add(-tracker.settings.Alive), loss.At.Add(tracker.settings.Alive))
+	nearby := between(tracker.crashes, loss.At.Add(-tracker.settings.RefutationWindow), loss.At.Add(tracker.settings.RefutationWindow))
 	if at := slices.IndexFunc(nearby, func(crash *crash) bool { return crash.server == loss.Server }); at >= 0 {
 		return nearby[at]
 	}
@@ -103,7 +103,7 @@
 		return known
 	}
 	added := &suspect{fingerprint: request}
-	if count, found := tracker.successes.Peek(request); found && tracker.now().Sub(count.at) < tracker.settings.Memory {
+	if count, found := tracker.successes.Peek(request); found && tracker.now().Sub(count.at) < tracker.settings.HistoryTime {
 		added.successes = count
 	}
 	if entry, found := tracker.entries.Peek(request); found {
@@ -116,9 +116,9 @@
 // dropOld drops crashes older than Settings.HistoryTime, and the oldest ones beyond
 // Settings.MaxCrashes.
 func (tracker *Tracker) dropOld() {
-	oldest := tracker.now().Add(-tracker.settings.Memory)
+	oldest := tracker.now().Add(-tracker.settings.HistoryTime)
 	drop := 0
-	for drop < len(tracker.crashes) && (tracker.crashes[drop].at.Before(oldest) || len(tracker.crashes)-drop > tracker.settings.Crashes) {
+	for drop < len(tracker.crashes) && (tracker.crashes[drop].at.Before(oldest) || len(tracker.crashes)-drop > tracker.settings.MaxCrashes) {
 		dropped := tracker.crashes[drop]
 		for _, suspect := range dropped.requests {
 			suspect.crashes = slices.DeleteFunc(suspect.crashes, func(crash *crash) bool { return crash == dropped })
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -23,7 +23,7 @@
 			return
 		case <-tracker.changed:
 		}
-		if !wait.For(ctx, tracker.settings.Settle) {
+		if !wait.For(ctx, tracker.settings.EvaluationDelay) {
 			return
 		}
 		found := tracker.evaluate()
@@ -47,7 +47,7 @@
 			return
 		}
 		tracker.logger.Warn("cannot read entries from the store; retrying", "error", err)
-		wait.For(ctx, tracker.settings.Retry)
+		wait.For(ctx, tracker.settings.RetryDelay)
 	}
 }
 
@@ -59,7 +59,7 @@
 			return
 		}
 		tracker.logger.Warn("cannot write entry to the store; retrying", "fingerprint", entry.Fingerprint, "error", err)
-		wait.For(ctx, tracker.settings.Retry)
+		wait.For(ctx, tracker.settings.RetryDelay)
 	}
 }
 
@@ -68,11 +68,11 @@
 // find them there.
 func (tracker *Tracker) Rewrite(ctx context.Context) {
 	entries := tracker.Entries()
-	if len(entries) == 0 || !wait.For(ctx, rand.N(tracker.settings.Rewrite)) { //nolint:gosec // not security-sensitive
+	if len(entries) == 0 || !wait.For(ctx, rand.N(tracker.settings.RewriteSpread)) { //nolint:gosec // not security-sensitive
 		return
 	}
 	stored, err := tracker.store.List(ctx)
-	for err != nil && wait.For(ctx, tracker.settings.Retry) {
+	for err != nil && wait.For(ctx, tracker.settings.RetryDelay) {
 		stored, err = tracker.store.List(ctx)
 	}
 	times := make(map[fingerprint.Fingerprint]int, len(stored))
--- a/internal/quarantine/simulation_internal_test.go
+++ b/internal/quarantine/simulation_internal_test.go
@@ -199,7 +199,7 @@
 		}
 	}
 	server.start++
-	simulation.evaluateAt = simulation.now.Add(simulation.tracker.settings.Settle)
+	simulation.evaluateAt = simulation.now.Add(simulation.tracker.settings.EvaluationDelay)
 	for _, run := range lost {
 		run.tries--
 		duration := runTime
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -73,9 +73,9 @@
 		publisher: publisher,
 		logger:    logger,
 		now:       now,
-		suspects:  newLRU[*suspect](settings.Suspects),
-		successes: newLRU[*successes](settings.Answered),
-		entries:   newLRU[Entry](settings.Entries),
+		suspects:  newLRU[*suspect](settings.MaxSuspects),
+		successes: newLRU[*successes](settings.MaxSuccesses),
+		entries:   newLRU[Entry](settings.MaxEntries),
 		watches:   make(map[fingerprint.Fingerprint]map[*watch]bool),
 		changed:   make(chan struct{}, 1),
 	}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -213,7 +213,7 @@
 		"losses far apart": {action: func(fixture *fixture) {
 			for range 5 {
 				fixture.loseEach(1, cause)
-				time.Sleep(fixture.settings.Memory / 2)
+				time.Sleep(fixture.settings.HistoryTime / 2)
 			}
 		}},
 		"VM that doesn't evaluate": {action: func(fixture *fixture) {
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -25,38 +25,38 @@
 type Settings struct {
 	// TTL is the time after which an engine releases a reservation that is not renewed. It must be
 	// below 4 s, the time within which the users require unused memory to be released.
-	Hold time.Duration `yaml:"hold" validate:"min=100ms"`
+	TTL time.Duration `yaml:"hold" validate:"min=100ms"`
 	// RenewInterval is the interval between renewals.
-	Renew time.Duration `yaml:"renew" validate:"min=10ms"`
+	RenewInterval time.Duration `yaml:"renew" validate:"min=10ms"`
 	// CommandTimeout is the timeout of a command to an engine.
-	OrderTime time.Duration `yaml:"order_time" validate:"min=10ms"`
+	CommandTimeout time.Duration `yaml:"order_time" validate:"min=10ms"`
 	// ReleaseRetryInterval is the interval between attempts to release memory after a reserve
 	// command without a reply. LateCommandWindow is the time for which the engine may still execute
 	// such a command.
-	Again time.Duration `yaml:"again" validate:"min=10ms"`
-	Late  time.Duration `yaml:"late" validate:"min=10ms"`
+	ReleaseRetryInterval time.Duration `yaml:"again" validate:"min=10ms"`
+	LateCommandWindow    time.Duration `yaml:"late" validate:"min=10ms"`
 }
 
 // DefaultSettings returns the settings for the users' platform, where an engine may execute a
 // command 12 s late.
 func DefaultSettings() Settings {
 	return Settings{
-		Hold:      3500 * time.Millisecond,
-		Renew:     1100 * time.Millisecond,
-		OrderTime: 400 * time.Millisecond,
-		Again:     2 * time.Second,
-		Late:      13 * time.Second,
+		TTL:                  3500 * time.Millisecond,
+		RenewInterval:        1100 * time.Millisecond,
+		CommandTimeout:       400 * time.Millisecond,
+		ReleaseRetryInterval: 2 * time.Second,
+		LateCommandWindow:    13 * time.Second,
 	}
 }
 
 // WithMaxTTL returns the settings with TTL limited to maxTTL. The renewal interval is shortened in
 // proportion. Zero means no limit.
-func (settings Settings) WithMaxHold(maxTTL time.Duration) Settings {
-	if maxTTL <= 0 || settings.Hold <= maxTTL {
+func (settings Settings) WithMaxTTL(maxTTL time.Duration) Settings {
+	if maxTTL <= 0 || settings.TTL <= maxTTL {
 		return settings
 	}
-	settings.Renew = time.Duration(float64(settings.Renew) * float64(maxTTL) / float64(settings.Hold))
-	settings.Hold = maxTTL
+	settings.RenewInterval = time.Duration(float64(settings.RenewInterval) * float64(maxTTL) / float64(settings.TTL))
+	settings.TTL = maxTTL
 	return settings
 }
 
@@ -205,7 +205,7 @@
 
 // renew renews the reservation periodically until ctx is done.
 func (reservation *Reservation) renew(ctx context.Context) {
-	for wait.For(ctx, reservation.manager.settings.Renew) {
+	for wait.For(ctx, reservation.manager.settings.RenewInterval) {
 		for _, claim := range reservation.claims {
 			reservation.done.Go(func() {
 				if failure := reservation.reserve(ctx, claim); failure != nil && ctx.Err() == nil {
@@ -219,7 +219,7 @@
 // reserve reserves memory at one engine, or renews it. It returns nil on success.
 func (reservation *Reservation) reserve(ctx context.Context, claim Claim) *EngineError {
 	manager := reservation.manager
-	request := manager.codec.Reserve(claim.Instance, reservation.ticket, claim.Tokens, manager.settings.Hold)
+	request := manager.codec.Reserve(claim.Instance, reservation.ticket, claim.Tokens, manager.settings.TTL)
 	reply, answered, err := reservation.sendCommand(ctx, claim, request)
 	if !answered {
 		reservation.recordUnanswered(claim)
@@ -243,13 +243,13 @@
 		reservation.mu.Lock()
 		last, outstanding := reservation.unanswered[claim.Instance]
 		reservation.mu.Unlock()
-		if !outstanding || manager.now().Sub(last) > manager.settings.Late {
+		if !outstanding || manager.now().Sub(last) > manager.settings.LateCommandWindow {
 			return
 		}
 		if err != nil {
 			manager.logger.Info("failed to release memory reservation; retrying", "ticket", reservation.ticket, "server", claim.Instance, "error", err)
 		}
-		if !wait.For(manager.lifetime, manager.settings.Again) {
+		if !wait.For(manager.lifetime, manager.settings.ReleaseRetryInterval) {
 			return
 		}
 	}
@@ -259,7 +259,7 @@
 // sent but got no valid reply, so that the engine may still execute it later.
 func (reservation *Reservation) sendCommand(ctx context.Context, claim Claim, request upstream.Request) (Reply, bool, error) {
 	manager := reservation.manager
-	timeoutCtx, cancel := context.WithTimeout(ctx, manager.settings.OrderTime)
+	timeoutCtx, cancel := context.WithTimeout(ctx, manager.settings.CommandTimeout)
 	defer cancel()
 	response, err := manager.sender.Send(timeoutCtx, claim.Address, request, func(http.Header) bool { return true })
 	if err != nil {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -210,13 +210,13 @@
 }
 
 func TestWithHoldAtMost(t *testing.T) {
-	settings := reservation.Settings{Hold: 3 * time.Second, Renew: time.Second}
+	settings := reservation.Settings{TTL: 3 * time.Second, RenewInterval: time.Second}
 	for maxTTL, want := range map[time.Duration]reservation.Settings{
-		0:                {Hold: 3 * time.Second, Renew: time.Second},
-		20 * time.Second: {Hold: 3 * time.Second, Renew: time.Second},
-		time.Second:      {Hold: time.Second, Renew: time.Second / 3},
+		0:                {TTL: 3 * time.Second, RenewInterval: time.Second},
+		20 * time.Second: {TTL: 3 * time.Second, RenewInterval: time.Second},
+		time.Second:      {TTL: time.Second, RenewInterval: time.Second / 3},
 	} {
-		assert.DeepEqual(t, settings.WithMaxHold(maxTTL), want)
+		assert.DeepEqual(t, settings.WithMaxTTL(maxTTL), want)
 	}
 }
 
