--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -30,8 +30,9 @@
 	Timeout time.Duration
 	// Objective is the objective for the time to the response or, for a stream, to its first event.
 	Objective time.Duration
-	// Gap is the objective for the time between two events of a stream, or zero for none.
-	Gap time.Duration
+	// InterTokenObjective is the longest time between two events of a stream that meets the
+	// objective, or zero for none.
+	InterTokenObjective time.Duration
 	// Priority is the priority of the route's requests. Zero is the most urgent.
 	Priority int
 	// MaxAttempts is the largest number of servers that may run one request.
@@ -73,14 +74,15 @@
 	return route.Targets[len(route.Targets)-1].Service
 }
 
-// shortestGap returns the smallest Gap of the routes to a service, or zero if none has one.
-func shortestGap(routes []Route, service string) time.Duration {
+// shortestInterTokenObjective returns the shortest InterTokenObjective of the routes to a service,
+// or zero if none has one.
+func shortestInterTokenObjective(routes []Route, service string) time.Duration {
 	var shortest time.Duration
 	for i := range routes {
 		route := &routes[i]
 		matches := slices.ContainsFunc(route.Targets, func(target Target) bool { return target.Service == service })
-		if matches && route.Gap > 0 && (shortest == 0 || route.Gap < shortest) {
-			shortest = route.Gap
+		if matches && route.InterTokenObjective > 0 && (shortest == 0 || route.InterTokenObjective < shortest) {
+			shortest = route.InterTokenObjective
 		}
 	}
 	return shortest
--- a/internal/catalog/service_test.go
+++ b/internal/catalog/service_test.go
@@ -9,11 +9,11 @@
 	"github.com/mastwinch/mastwinch/internal/catalog"
 )
 
-// TestShortestGap guards against a wrong objective for a service whose routes have several targets,
+// TestShortestInterTokenObjective guards against a wrong objective for a service whose routes have several targets,
 // several objectives or none, and against the objectives of other services.
-func TestShortestGap(t *testing.T) {
-	to := func(gap time.Duration, services ...string) catalog.Route {
-		route := catalog.Route{Gap: gap}
+func TestShortestInterTokenObjective(t *testing.T) {
+	to := func(interTokenObjective time.Duration, services ...string) catalog.Route {
+		route := catalog.Route{InterTokenObjective: interTokenObjective}
 		for _, service := range services {
 			route.Targets = append(route.Targets, catalog.Target{Service: service, Weight: 1})
 		}
@@ -23,18 +23,18 @@
 		routes []catalog.Route
 		want   time.Duration
 	}{
-		"no route":                       {},
-		"route without a gap":            {routes: []catalog.Route{to(0, "engines")}},
-		"shorter of two":                 {routes: []catalog.Route{to(time.Second, "engines"), to(200*time.Millisecond, "engines")}, want: 200 * time.Millisecond},
-		"route with two services":        {routes: []catalog.Route{to(300*time.Millisecond, "others", "engines")}, want: 300 * time.Millisecond},
-		"shorter gap of another service": {routes: []catalog.Route{to(time.Second, "engines"), to(100*time.Millisecond, "others")}, want: time.Second},
+		"no route":                               {},
+		"route without an inter-token objective": {routes: []catalog.Route{to(0, "engines")}},
+		"shorter of two":                         {routes: []catalog.Route{to(time.Second, "engines"), to(200*time.Millisecond, "engines")}, want: 200 * time.Millisecond},
+		"route with two services":                {routes: []catalog.Route{to(300*time.Millisecond, "others", "engines")}, want: 300 * time.Millisecond},
+		"shorter objective of another service":   {routes: []catalog.Route{to(time.Second, "engines"), to(100*time.Millisecond, "others")}, want: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			service, found := catalog.New(catalog.Configuration{
 				Routes: test.routes, Services: []catalog.Service{{Name: "others"}, {Name: "engines"}},
 			}).Service("engines")
 			assert.Assert(t, found)
-			assert.Equal(t, service.ShortestGap, test.want)
+			assert.Equal(t, service.ShortestInterTokenObjective, test.want)
 		})
 	}
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 // Services returns a service of the active configuration by name, and whether it exists.
 type Services func(name string) (*catalog.Service, bool)
 
-// Coordinator requests servers for the client requests of its VM, and assigns servers to requests
+// Coordinator requests servers for the caller requests of its VM, and assigns servers to requests
 // of all VMs while this VM is the coordinator. It is safe for concurrent use.
 type Coordinator struct {
 	settings    Settings
@@ -66,14 +66,14 @@
 	network     Network
 	now         func() time.Time
 
-	// decideMu guards queue, lastRequested and decision.
+	// decideMu guards queue, lastRequested and decisions.
 	decideMu sync.Mutex
 	queue    *dispatch.Queue
 	// lastRequested has the time of the last message for each queued request.
 	lastRequested map[dispatch.Key]time.Time
-	// decision has the recent decisions by key, so that they can be sent again when a response was
+	// decisions has the recent decisions by key, so that they can be sent again when a response was
 	// lost.
-	decision map[dispatch.Key]decision
+	decisions map[dispatch.Key]decision
 	// queued has an element after a request was queued.
 	queued chan struct{}
 
@@ -113,7 +113,7 @@
 		now:           now,
 		queue:         dispatch.New(policy),
 		lastRequested: make(map[dispatch.Key]time.Time),
-		decision:      make(map[dispatch.Key]decision),
+		decisions:     make(map[dispatch.Key]decision),
 		queued:        make(chan struct{}, 1),
 		pending:       make(map[uint64]chan peerResponse),
 	}
--- a/internal/coordinator/request.go
+++ b/internal/coordinator/request.go
@@ -11,7 +11,7 @@
 // those to repeated requests.
 const responseBuffer = 8
 
-// Place requests servers for a client request from the preferred coordinator until they are
+// Place requests servers for a caller's request from the preferred coordinator until they are
 // assigned or refused. It calls newRequest for each message, since durations in it count from the
 // time of sending. It reports false when there is no coordinator, when the coordinator has no such
 // service in its configuration, or when ctx is done. Then no coordinator holds an assignment for
@@ -39,13 +39,13 @@
 		switch {
 		case !received && ctx.Err() == nil:
 			unanswered++
-			if unanswered >= coordinator.settings.Misses {
+			if unanswered >= coordinator.settings.MaxMissedResponses {
 				coordinator.network.ReportUnresponsive(vm)
 			}
 			continue
 		case received && response.Decision == dispatch.DecisionQueued:
 			unanswered = 0
-			response, received = coordinator.awaitResponse(ctx, responses, vm, coordinator.settings.Renew)
+			response, received = coordinator.awaitResponse(ctx, responses, vm, coordinator.settings.RepeatInterval)
 		}
 		if received && response.Final() {
 			return response, true
@@ -58,7 +58,7 @@
 	return dispatch.AssignmentResponse{}, false
 }
 
-// ReleaseAssignment gives up servers that were assigned to a request but are not used.
+// ReleaseAssignment releases servers that were assigned to a request but are not used.
 func (coordinator *Coordinator) ReleaseAssignment(id uint64) {
 	for _, vm := range coordinator.network.Coordinators() {
 		coordinator.cancel(vm, id)
@@ -110,7 +110,7 @@
 	coordinator.network.SendRequest(vm, request)
 }
 
-// cancel notifies a VM that the client request no longer needs servers. It does nothing if vm is
+// cancel notifies a VM that the caller's request no longer needs servers. It does nothing if vm is
 // empty.
 func (coordinator *Coordinator) cancel(vm string, id uint64) {
 	if vm != "" {
@@ -143,7 +143,7 @@
 func (coordinator *Coordinator) recordResponseTime(responseTime time.Duration) {
 	coordinator.pendingMu.Lock()
 	defer coordinator.pendingMu.Unlock()
-	coordinator.responseTime += time.Duration(coordinator.settings.AnswerGain * float64(responseTime-coordinator.responseTime))
+	coordinator.responseTime += time.Duration(coordinator.settings.ResponseTimeWeight * float64(responseTime-coordinator.responseTime))
 }
 
 // responseTimeout returns the timeout of the next response.
@@ -151,6 +151,6 @@
 	coordinator.pendingMu.Lock()
 	defer coordinator.pendingMu.Unlock()
 	settings := coordinator.settings
-	expected := time.Duration(settings.AnswerTimes * float64(coordinator.responseTime))
+	expected := time.Duration(settings.ResponseTimeFactor * float64(coordinator.responseTime))
 	return min(settings.AnswerMax, max(settings.AnswerMin, expected))
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -31,7 +31,7 @@
 	confirmedAt atomic.Pointer[time.Time]
 	// invalid counts the values that could not be decoded.
 	invalid atomic.Int64
-	// cancelRound ends the current read or pause.
+	// cancelRound ends the current read, or the wait before the next one.
 	cancelRound atomic.Pointer[context.CancelCauseFunc]
 	// confirmed is closed on the first confirmation.
 	confirmed chan struct{}
@@ -69,8 +69,9 @@
 	return follower.invalid.Load()
 }
 
-// Refresh ends the current read or pause and reads again at once. It is for the time after a suspension of the machine:
-// a response to the earlier read confirms only old values, and timers did not run during the suspension.
+// Refresh ends the current read, or the wait before the next one, and reads again at once. It must be called after a
+// suspension of the machine: a response to the earlier read confirms only old values, and timers did not run during the
+// suspension.
 func (follower *Follower[T]) Refresh() {
 	if cancelRound := follower.cancelRound.Load(); cancelRound != nil {
 		(*cancelRound)(errRefreshed)
@@ -100,7 +101,7 @@
 // progress is the state of a follower between two reads.
 type progress struct {
 	position Position
-	// backoff is the pause after the next failure.
+	// backoff is the delay after the next failure.
 	backoff time.Duration
 	// lost says that the last read from the source failed.
 	lost bool
@@ -111,14 +112,14 @@
 	unsettled bool
 }
 
-// round reads once, pauses until the next read may start, and returns the new progress.
+// round reads once, waits until the next read may start, and returns the new progress.
 func (follower *Follower[T]) round(ctx context.Context, current progress) progress {
 	waiting := follower.settings.Wait
 	if current.lost || current.immediate {
 		waiting = 0 // a response without changes confirms the values; waiting for a change would delay it
 	}
 	if current.unsettled {
-		current, waiting = follower.settle(current, waiting)
+		current, waiting = follower.planUnsettledRead(current, waiting)
 	}
 	startedAt := follower.now()
 	next, unsettled, err := follower.read(ctx, current.position, waiting)
@@ -149,17 +150,17 @@
 	return current
 }
 
-// minSettleWait is the smallest limit on the wait of a read while the source is unsettled.
-const minSettleWait = 100 * time.Millisecond
+// minUnsettledWait is the smallest limit on the wait of a read while the source is unsettled.
+const minUnsettledWait = 100 * time.Millisecond
 
-// settle returns the position and the wait of the next read after an unsettled page: until the source has settled the
+// planUnsettledRead returns the position and the wait of the next read after an unsettled page: until the source has settled the
 // read waits for changes, and then it requests all values.
-func (follower *Follower[T]) settle(current progress, waiting time.Duration) (progress, time.Duration) {
+func (follower *Follower[T]) planUnsettledRead(current progress, waiting time.Duration) (progress, time.Duration) {
 	if remaining := follower.settledAt().Sub(follower.now()); remaining > 0 {
-		return current, min(waiting, max(remaining, minSettleWait))
+		return current, min(waiting, max(remaining, minUnsettledWait))
 	}
 	current.position = Position{}
-	return current, min(waiting, minSettleWait)
+	return current, min(waiting, minUnsettledWait)
 }
 
 // read reads all values or changes, for which it waits up to waiting. It returns the position of the next read, and
@@ -190,7 +191,7 @@
 // settledAt returns the end of the time in which the records that the source lost in the last rollback may be written
 // again.
 func (follower *Follower[T]) settledAt() time.Time {
-	return follower.epochs.IncreasedAt().Add(follower.settings.Settle)
+	return follower.epochs.IncreasedAt().Add(follower.settings.SettleTime)
 }
 
 // applyPage merges a page into the values, passes the resulting changes to the listener, and replaces the records of
--- a/internal/gateway/forwarder.go
+++ b/internal/gateway/forwarder.go
@@ -95,8 +95,8 @@
 type resultKind string
 
 const (
-	// resultAnswered: the caller received the whole response.
-	resultAnswered resultKind = "answered"
+	// resultCompleted: the caller received the whole response.
+	resultCompleted resultKind = "answered"
 	// resultNotRun: the server certainly did not execute the request.
 	resultNotRun resultKind = "not_run"
 	// resultUncertain: the server may have executed the request, in part or in whole.
@@ -130,9 +130,8 @@
 	receivedEvent bool
 	// serverNotAtFault is true if the failure is not evidence against the server.
 	serverNotAtFault bool
-	// answer is a response of the server that is forwarded if no further attempt succeeds, or
-	// nil.
-	answer *bufferedResponse
+	// response is the server's response that is forwarded if no further attempt succeeds, or nil.
+	response *bufferedResponse
 }
 
 // forward sends the request to servers until it has an outcome.
@@ -146,7 +145,7 @@
 		if forwarder.gateway.quarantine.Remaining(forwarder.fingerprint) > 0 {
 			return forwarder.failureOutcome(ReasonCrashesServers)
 		}
-		plan, use, ok := forwarder.place(ctx)
+		plan, activeRequest, ok := forwarder.place(ctx)
 		if !ok && ctx.Err() == nil {
 			return forwarder.failureOutcome(forwarder.rejectionReason())
 		}
@@ -154,11 +153,11 @@
 			return forwarder.interruptedOutcome(ctx)
 		}
 		if forwarder.deliveries > 0 && !forwarder.mayRetry(budget) {
-			use.Finish()
+			activeRequest.Finish()
 			return forwarder.failureOutcome(ReasonServersRefused)
 		}
 		forwarder.planAttempts++
-		result := forwarder.attempt(ctx, plan, use)
+		result := forwarder.attempt(ctx, plan, activeRequest)
 		switch result.kind {
 		case resultNoMemory:
 			forwarder.gateway.logger.Info("engine memory reservation failed", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
@@ -167,7 +166,7 @@
 		case resultServerUnavailable:
 			forwarder.gateway.logger.Info("planned server stopped accepting requests; placing the request again", "request_id", forwarder.head.ID, "look", forwarder.planAttempts, "error", result.err)
 			continue
-		case resultAnswered, resultNotRun, resultUncertain, resultTruncated:
+		case resultCompleted, resultNotRun, resultUncertain, resultTruncated:
 		}
 		forwarder.sends++
 		if !result.notSent {
@@ -236,7 +235,7 @@
 	gateway := forwarder.gateway
 	gateway.metrics.attempts.WithLabelValues(string(result.kind)).Inc()
 	forwarder.lastResult = result
-	if result.kind == resultAnswered {
+	if result.kind == resultCompleted {
 		gateway.pool.RecordSuccess(plan.Server.ID, forwarder.fingerprint)
 		gateway.quarantine.RecordCompletion(forwarder.fingerprint, plan.Server.ID)
 		return outcome{status: result.status, responseWritten: true, server: plan.Server.ID}, true
@@ -298,9 +297,9 @@
 	if forwarder.responseStarted {
 		return outcome{status: http.StatusOK, reason: reason, mayHaveRun: true, responseWritten: true, truncated: true}
 	}
-	if answer := forwarder.lastResult.answer; answer != nil {
-		forwarder.writeBuffered(answer)
-		return outcome{status: answer.status, reason: reason, mayHaveRun: true, responseWritten: true}
+	if buffered := forwarder.lastResult.response; buffered != nil {
+		forwarder.writeBuffered(buffered)
+		return outcome{status: buffered.status, reason: reason, mayHaveRun: true, responseWritten: true}
 	}
 	return failure(reason, forwarder.executions > 0, forwarder.retryDelay(reason))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 	// memory for responses that callers have not read yet.
 	bodyMemory     memoryLimit
 	responseMemory *responseBuffers
-	// stopping is true once the process was asked to stop.
+	// stopping is true once the process was signalled to stop.
 	stopping atomic.Bool
 	// refusing is true once a draining process refuses new requests.
 	refusing atomic.Bool
@@ -167,7 +167,7 @@
 	gateway.upstream = upstream.New(settings.Upstream, hostNetwork, notices{gateway}, now)
 	gateway.coordinator = coordinator.New(settings.Coordinator, site.VM, gateway.policy, gateway.pool, gateway.service,
 		&sharedRetries{gateway: gateway, budgets: make(map[string]*sharedBudget)}, exchange, now)
-	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxHold(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
+	gateway.reservations = reservation.New(baseContext, settings.Reservation.WithMaxTTL(site.Bounds.HoldMax), orders, gateway.upstream, logger, now)
 	gateway.metrics = newMetrics(gateway)
 	gateway.bounds.Store(&site.Bounds)
 	transport := network.NewTransport(hostNetwork)
@@ -188,7 +188,7 @@
 	gateway.directory = follower.New(
 		sources.Servers.WithLog(
 			viaPeers(sources.Servers.Name, sources.Servers.Log, settings.Directory.ResponseTimeout)),
-		gateway.pool, settings.Directory.WithMinSettle(entryExpiry(site)), sources.Epochs, logger, now)
+		gateway.pool, settings.Directory.WithMinSettleTime(entryExpiry(site)), sources.Epochs, logger, now)
 	gateway.tails = map[string]*follower.Tail{
 		sources.Configuration.Name: gateway.configuration.Tail(),
 		sources.Servers.Name:       gateway.directory.Tail(),
--- a/internal/gateway/peersink.go
+++ b/internal/gateway/peersink.go
@@ -25,8 +25,8 @@
 
 var _ exchange.Sink = peerSink{}
 
-// Blind implements exchange.Sink. It reports whether the last read of any source failed.
-func (peerSink peerSink) Blind() bool {
+// StoreUnavailable implements exchange.Sink. It reports whether the last read of any source failed.
+func (peerSink peerSink) StoreUnavailable() bool {
 	for _, tail := range peerSink.tails {
 		if tail.Lost() {
 			return true
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -132,7 +132,7 @@
 }
 
 // awaitConfiguration returns the configuration in force, or nil if there is none within the longest
-// wait. It also waits for the first proof that the configuration is current, which arrives shortly
+// wait. It also waits for the first confirmation that the configuration is current, which arrives shortly
 // after the configuration itself: without that, requests that waited for the configuration would be
 // refused as if it were too old.
 func (gateway *Gateway) awaitConfiguration(ctx context.Context, longest time.Duration) *catalog.Catalog {
@@ -259,8 +259,8 @@
 		"organisation", admitted.organisationName(),
 		"fingerprint", forwarder.fingerprint, "status", outcome.status, "reason", outcome.reason, "may_have_run", outcome.mayHaveRun,
 		"server", outcome.server, "broken", outcome.truncated, "took", duration,
-		"tokens", admitted.promptTokens(), "objective", route.Objective, "gap", route.Gap, "sends", forwarder.sends,
+		"tokens", admitted.promptTokens(), "objective", route.Objective, "gap", route.InterTokenObjective, "sends", forwarder.sends,
 		"waited", forwarder.timings.waited, "placed", forwarder.timings.placedAfter, "predicted", forwarder.timings.predicted,
-		"first", forwarder.timings.firstEventAfter, "pause", forwarder.timings.longestGap,
+		"first", forwarder.timings.firstEventAfter, "pause", forwarder.timings.longestPause,
 		"version", version, "version_age", age)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -70,17 +70,17 @@
 	FirstEventMargin time.Duration `yaml:"silence" validate:"min=10ms"`
 	FirstEventFactor float64       `yaml:"silence_part" validate:"min=0"`
 	// StreamTimeoutMin is the shortest time without an event after which a stream is resumed on
-	// another server. StreamTimeoutGaps gives the same time as a multiple of the route's inter-event
+	// another server. StreamTimeoutFactor gives the same time as a multiple of the route's inter-token
 	// objective; the longer of the two applies.
-	StreamTimeoutMin  time.Duration `yaml:"gap_min" validate:"min=10ms"`
-	StreamTimeoutGaps float64       `yaml:"gap_times" validate:"min=1"`
+	StreamTimeoutMin    time.Duration `yaml:"gap_min" validate:"min=10ms"`
+	StreamTimeoutFactor float64       `yaml:"gap_times" validate:"min=1"`
 	// RetryAfterMin and RetryAfterMax bound the random delay after which a refused caller may
 	// retry.
 	RetryAfterMin time.Duration `yaml:"retry_after_min" validate:"min=0"`
 	RetryAfterMax time.Duration `yaml:"retry_after_max" validate:"min=1ms,gtefield=RetryAfterMin"`
 	// StartupWait is how long after the start of the process requests wait for the first
 	// configuration, which arrives slightly late when many VMs start together. Without it, callers
-	// would be told to retry only after seconds.
+	// would be rejected with a retry time of seconds.
 	StartupWait time.Duration `yaml:"start_hold" validate:"min=0,max=5s"`
 	// StoreRetryMin and StoreRetryMax are the same bounds for a VM without a configuration. A VM
 	// that reaches the store has one shortly after its start, so the store is unreachable in this
@@ -103,9 +103,9 @@
 }
 
 // streamTimeout returns after how long without an event a stream is abandoned, where pauses of up
-// to gap meet the objective.
-func (settings RequestSettings) streamTimeout(gap time.Duration) time.Duration {
-	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutGaps*float64(gap)))
+// to interTokenObjective meet the objective.
+func (settings RequestSettings) streamTimeout(interTokenObjective time.Duration) time.Duration {
+	return max(settings.StreamTimeoutMin, time.Duration(settings.StreamTimeoutFactor*float64(interTokenObjective)))
 }
 
 // DrainSettings are the parameters of a planned stop.
@@ -139,12 +139,12 @@
 		Configuration: follower.Settings{
 			Wait: 1500 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // the platform's writers rewrite their entries within this time
+			SettleTime: 2 * time.Second, // the platform's writers rewrite their entries within this time
 		},
 		Directory: follower.Settings{
 			MinInterval: 800 * time.Millisecond, ResponseTimeout: 700 * time.Millisecond,
 			RetryMin: 100 * time.Millisecond, RetryMax: 800 * time.Millisecond,
-			Settle: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
+			SettleTime: 2 * time.Second, // raised to the time that the entry of a stopped server may remain in the store
 		},
 		Reservation: reservation.DefaultSettings(),
 		Quarantine:  quarantine.DefaultSettings(),
@@ -158,7 +158,7 @@
 			FirstEventMargin:       900 * time.Millisecond,
 			FirstEventFactor:       2,
 			StreamTimeoutMin:       1600 * time.Millisecond,
-			StreamTimeoutGaps:      4,
+			StreamTimeoutFactor:    4,
 			RetryAfterMin:          200 * time.Millisecond,
 			RetryAfterMax:          600 * time.Millisecond,
 			StartupWait:            400 * time.Millisecond,
--- a/internal/gateway/timings.go
+++ b/internal/gateway/timings.go
@@ -14,8 +14,8 @@
 	// firstEventAfter is when the caller received the first event, measured from the request's
 	// arrival; zero means that it received none.
 	firstEventAfter time.Duration
-	// longestGap is the longest time between two events that the caller received.
-	longestGap time.Duration
+	// longestPause is the longest time between two events that the caller received.
+	longestPause time.Duration
 	// lastEventAt is when the caller received the last event.
 	lastEventAt time.Time
 }
@@ -33,7 +33,7 @@
 	if timings.lastEventAt.IsZero() {
 		timings.firstEventAfter = now.Sub(arrivedAt)
 	} else {
-		timings.longestGap = max(timings.longestGap, now.Sub(timings.lastEventAt))
+		timings.longestPause = max(timings.longestPause, now.Sub(timings.lastEventAt))
 	}
 	timings.lastEventAt = now
 }
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -13,8 +13,7 @@
 
 var _ follower.Listener[directory.Entry] = (*Pool)(nil)
 
-// packOrderKey is the rendezvous key of the order in which requests with short event gaps fill the
-// servers.
+// packOrderKey is the rendezvous key of the order in which packable requests fill the servers.
 const packOrderKey = "pack"
 
 // listSource names the server list as the source of a state, in log lines and in ServerStatus.
@@ -89,24 +88,24 @@
 	known := pool.servers[entry.ID]
 	if known == nil {
 		added := &server{entry: entry}
-		if entry.Drains {
+		if entry.Draining {
 			added.drainingReportedBy = listSource
 		}
 		pool.servers[entry.ID] = added
 		pool.setColdStart(added, entry.ColdRemaining)
 		pool.logger.Debug("server listed", "server", entry.ID, "service", entry.Service,
-			"address", entry.Address, "leaving", entry.Drains)
+			"address", entry.Address, "leaving", entry.Draining)
 		return
 	}
 	if fresh || entry.ColdRemaining != known.entry.ColdRemaining {
 		pool.setColdStart(known, entry.ColdRemaining)
 	}
-	if entry.Drains && !known.entry.Drains {
+	if entry.Draining && !known.entry.Draining {
 		known.drainingReportedBy = listSource
 		pool.logger.Info("server is draining", "server", entry.ID, "told_by", listSource)
 	}
 	// A draining server never accepts new requests again.
-	entry.Drains = entry.Drains || known.entry.Drains
+	entry.Draining = entry.Draining || known.entry.Draining
 	known.entry = entry
 	known.missingSince = time.Time{}
 	known.entryInvalid = false
@@ -139,7 +138,7 @@
 	if server.missingSince.IsZero() {
 		return false
 	}
-	maybeStale := pool.sourceLost || now.Before(pool.sourceRegainedAt.Add(pool.settings.ReturnTime))
+	maybeStale := pool.sourceLost || now.Before(pool.sourceRegainedAt.Add(pool.settings.ListRecoveryTime))
 	return !maybeStale
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,20 +37,20 @@
 	OpenMin    time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenFactor float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax    time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// OpenMemory is how long the times of connection attempts are kept.
-	OpenMemory time.Duration `yaml:"open_memory" validate:"min=1s"`
+	// HistoryRetention is how long the duration of the last connection attempt to a server is kept.
+	HistoryRetention time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
 // DefaultSettings returns settings for servers in several data centres of one city.
 func DefaultSettings() Settings {
 	return Settings{
-		MaxIdle:    32,
-		IdleTime:   4 * time.Second,
-		IdleMargin: 700 * time.Millisecond,
-		OpenMin:    150 * time.Millisecond,
-		OpenFactor: 4,
-		OpenMax:    500 * time.Millisecond,
-		OpenMemory: time.Minute,
+		MaxIdle:          32,
+		IdleTime:         4 * time.Second,
+		IdleMargin:       700 * time.Millisecond,
+		OpenMin:          150 * time.Millisecond,
+		OpenFactor:       4,
+		OpenMax:          500 * time.Millisecond,
+		HistoryRetention: time.Minute,
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 // closeIdle closes the idle connections to a server. It is called after a request on
-// a reused connection failed: the other ones may be dead too without a reset, while
+// a reused connection failed: the other ones may be broken too without a reset, while
 // new connections work, and each would delay one more request until its timeout.
 func (client *Client) closeIdle(address string) {
 	client.mu.Lock()
