--- a/internal/dispatch/assignmentrequest.go
+++ b/internal/dispatch/assignmentrequest.go
@@ -3,7 +3,8 @@
 import "time"
 
 // AssignmentRequest is sent by a VM to the coordinator to get backend servers assigned to one
-// caller's request. Durations count from the moment of sending, so that clocks of VMs need not agree.
+// caller's request. TimeToObjective and TimeToCallerDeadline count from the moment of sending, so
+// that the clocks of VMs need not agree.
 type AssignmentRequest struct {
 	// ID is unique to the VM.
 	ID      uint64
@@ -49,7 +50,9 @@
 	DecisionAssigned
 	// DecisionUnknownService means that the coordinator has no such service in its configuration.
 	DecisionUnknownService
-	// DecisionRefused means that no assignment is expected before the caller's deadline.
+	// DecisionRefused means that the request gets no servers: none are expected to be free for it in
+	// time, the operator has evacuated all of them, or the retry budget does not allow another
+	// attempt.
 	DecisionRefused
 )
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -4,9 +4,9 @@
 //
 // One queue for all VMs handles bursts in which requests of many VMs compete for the same servers:
 // long prompts beyond what the engines can prefill, or short ones that fill them. Each decision
-// takes all earlier ones into account without any message between VMs. If each VM decided by
-// itself, and only after the last decision had reached all VMs, that delay would limit the rate of
-// long prompts, however many engines there are.
+// takes all earlier ones into account at once, without first having to reach other VMs. If each VM
+// decided by itself, and only after the last decision had reached all VMs, that delay would limit
+// the rate of long prompts, however many engines there are.
 package dispatch
 
 import (
