--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -188,7 +188,8 @@
 	return responses, coordinator.queue.Len() > 0
 }
 
-// expire drops queued requests whose VMs have sent no message for a while, and old decisions.
+// expire drops queued requests that their VMs have not repeated within QueuedRequestTTL, and
+// decisions older than DecisionTTL.
 func (coordinator *Coordinator) expire(now time.Time) {
 	coordinator.queue.DropWhere(func(request *dispatch.Request) bool {
 		if now.Sub(coordinator.lastRequested[request.Key]) <= coordinator.settings.QueuedRequestTTL {
