--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// candidate is a server with the cost of prefilling a part of a prompt there: the weight of
-// other requests that would miss their objectives.
+// candidate is a server with the cost of prefilling a part of a prompt there: the value that other
+// requests at the server would lose by being late.
 type candidate struct {
 	*Server
 
@@ -51,8 +51,8 @@
 		}
 		// Packable requests that arrive during the prefill of the part wait for it.
 		cost := lostFraction * server.PackableWeight * part.Seconds() / lengthaware.settings.PackableDuration.Seconds()
-		// The pass costs only streams whose objective for inter-token latency is shorter.
-		// Objectives differ between kinds of request.
+		// Objectives differ between kinds of request. The pass costs packable requests, or the
+		// others, their lost value if it exceeds the shortest inter-token objective among them.
 		if server.PackableInterTokenObjective > 0 && pass > server.PackableInterTokenObjective {
 			cost += lostFraction * server.PackableWeight
 		}
--- a/internal/placement/lengthaware.go
+++ b/internal/placement/lengthaware.go
@@ -19,7 +19,8 @@
 const MaxParts = 17
 
 // maxMemoryServers is the maximum number of servers that prefill one prompt with memory reserved at
-// several of them. The decode server is then listed to the engine with its helpers.
+// several of them. The decode server is then listed to the engine with its helpers, and an engine
+// accepts at most 16 servers in the list.
 const maxMemoryServers = 16
 
 // spareMemoryTokens is the KV memory kept free at a server where memory is reserved, since its
@@ -195,11 +196,12 @@
 }
 
 // chooseDecodeServer returns the server that decodes the answer of a request whose prompt
-// prefillServers prefill in parts. Among the servers with no higher cost than the last of these it
-// takes one with the fewest packable requests, and then the one with the least free memory that
-// suffices. This leaves servers with their whole memory to long prompts, and servers without
-// streams, where long parts delay none. If none of those servers has enough memory it takes the
-// lowest-cost server that has. It reports false when no server has enough memory.
+// prefillServers prefill in parts. Among the servers with neither a higher cost nor a longer
+// backlog than the last of these it takes one with the fewest packable requests, and then the one
+// with the least free memory that suffices. This leaves servers with their whole memory to long
+// prompts, and servers without streams, where long parts delay none. If none of those servers has
+// enough memory it takes the lowest-cost server that has. It reports false when no server has
+// enough memory.
 func chooseDecodeServer(costs, prefillServers []candidate, request Request) (candidate, bool) {
 	last := prefillServers[len(prefillServers)-1]
 	var best, lowest candidate
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -8,8 +8,8 @@
 
 // splitMemory splits the memory of the prompt over the servers in their order, over as few as
 // possible, and returns the tokens at each. The first server also needs memory for the answer. It
-// reports false when the servers have too little memory together, or the first one has no free slot
-// or no memory.
+// reports false when the servers have too little memory together, or when the first one has no free
+// slot, or no memory left for the prompt beside the answer.
 func splitMemory(ordered []Server, request Request) ([]int, bool) {
 	shares := make([]int, len(ordered))
 	remaining := request.Tokens
--- a/internal/placement/packable.go
+++ b/internal/placement/packable.go
@@ -171,8 +171,9 @@
 	return engine.PassTime(server.Running, context) + lengthaware.settings.PassTimeMargin + server.Backlog + part
 }
 
-// meetsInterTokenObjectives reports whether all streams at a server, and the request itself if
-// decoded there, meet their inter-token objectives while the server prefills a part of the request.
+// meetsInterTokenObjectives reports whether all streams at a server meet their inter-token
+// objectives while the server prefills a part of the request, and whether the request, which is to
+// be decoded there, meets its own.
 func (lengthaware LengthAware) meetsInterTokenObjectives(server *Server, request Request, part time.Duration) bool {
 	pass := lengthaware.pass(server, request, part)
 	return pass < request.InterTokenObjective && (server.MinInterTokenObjective == 0 || pass < server.MinInterTokenObjective)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -45,12 +45,12 @@
 	Connected bool
 }
 
-// tokensPerWeight is the prompt length, in tokens, that adds one to a request's weight. No caller
-// or route states the value of a request, and a rough estimate is enough.
+// tokensPerWeight is the number of tokens that adds one to a request's weight. No caller or route
+// states the value of a request, and a rough estimate is enough.
 const tokensPerWeight = 10_000
 
-// Weight estimates the value of a request relative to others from its length. It is exact enough to
-// compare costs with gains.
+// Weight estimates the value of a request relative to others from its length in tokens. It is exact
+// enough to compare costs with gains.
 func Weight(tokens int) float64 {
 	return 1 + float64(tokens)/tokensPerWeight
 }
--- a/internal/placement/settings.go
+++ b/internal/placement/settings.go
@@ -17,8 +17,9 @@
 	// packable requests. MinUnpackedServers is the number of servers that are never set apart.
 	SparePackedServers int `yaml:"keep_spare" validate:"min=0"`
 	MinUnpackedServers int `yaml:"leave_long" validate:"min=0"`
-	// NearlyEqualPasses is the difference in prefill backlog up to which servers count as equally
-	// busy, as a multiple of a forward pass without prefill.
+	// NearlyEqualPasses is the unit in which prefill backlogs are compared, as a multiple of a
+	// forward pass without prefill. Servers whose backlogs have the same number of whole units count
+	// as equally busy.
 	NearlyEqualPasses float64 `yaml:"near_passes" validate:"min=0.01"`
 	// NearlyEqualRunning is the difference in running requests up to which servers count as equally
 	// busy.
@@ -35,13 +36,14 @@
 	// MaxBacklog is the maximum prefill backlog of a server that gets a part of another long
 	// prompt.
 	MaxBacklog time.Duration `yaml:"room" validate:"min=0"`
-	// MaxLongBacklog is the same limit for a server that is prefilling another long prompt. Parts
-	// on several servers are prefilled before the prompt on one, and late parts delay the others.
+	// MaxLongBacklog is the same limit for a server that is prefilling another long prompt. Engines
+	// prefill the parts of split prompts before whole prompts, and late parts delay the others.
 	MaxLongBacklog time.Duration `yaml:"long_room" validate:"min=0"`
 	// PackableDuration is the typical duration of a packable request.
 	PackableDuration time.Duration `yaml:"tight_life" validate:"min=1ms"`
 	// MaxPackableTTFT is the maximum predicted time to first token with which a packable request is
-	// sent to a server where inter-token objectives will be missed.
+	// sent to a server where inter-token objectives will be missed. If the time left to the
+	// request's objective is longer, that is the maximum.
 	MaxPackableTTFT time.Duration `yaml:"tight_hold" validate:"min=0"`
 	// LateValueFraction is the fraction of its value that a late request keeps.
 	LateValueFraction float64 `yaml:"late_part" validate:"min=0,max=1"`
