--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -116,7 +116,7 @@
 	if e.Err != nil {
 		return fmt.Sprintf("reserve memory at %s: %v", e.Instance, e.Err)
 	}
-	return fmt.Sprintf("reserve memory at %s: %s, %d of %d tokens free", e.Instance, e.Reply.Kind, e.Reply.Free, e.Tokens)
+	return fmt.Sprintf("reserve memory at %s: %s, %d tokens free, %d required", e.Instance, e.Reply.Kind, e.Reply.Free, e.Tokens)
 }
 
 // ReserveError lists all engines at which memory for one prompt could not be reserved. Failures is
@@ -137,8 +137,8 @@
 	sender   Sender
 	logger   *slog.Logger
 	now      func() time.Time
-	// lifetime ends renewals and releases. Requests whose reservations were abandoned have ended
-	// before.
+	// lifetime ends renewals and releases when it is done. The context of a request can't do that,
+	// since its memory is still released after the request has ended.
 	lifetime context.Context //nolint:containedctx // releases outlive their requests
 }
 
