--- a/internal/ejection/state.go
+++ b/internal/ejection/state.go
@@ -45,7 +45,8 @@
 }
 
 // StartProbe records that a request is sent to a server whose ejection has ended, as a probe: the
-// server counts as ejected for Limits.Time again, or until the probe succeeds.
+// server counts as ejected for Limits.Time again, or until the probe succeeds, so that no other
+// request goes there meanwhile.
 func (state *State) StartProbe(now time.Time, limits Limits) {
 	if state.failures >= limits.After && !now.Before(state.until) {
 		state.until = now.Add(limits.Time)
