--- a/internal/backpressure/rate_limit.go
+++ b/internal/backpressure/rate_limit.go
@@ -15,8 +15,8 @@
 	// burstTime is the period for which unused requests accumulate. It covers the interval between
 	// two evaluations of the queue, during which the server would otherwise idle.
 	burstTime = 250 * time.Millisecond
-	// maxDebtTime is the period by whose requests a limit can be overdrawn, when requests are
-	// reported late.
+	// maxDebtTime bounds by how much requests that are reported late can exceed a limit: by as many
+	// as the limit allows in this period, and one more.
 	maxDebtTime = 4 * time.Second
 	// idleResetTime is the period without a check after which a sender with a share below one
 	// starts again without accumulated requests.
@@ -129,7 +129,7 @@
 
 // Advertisement is the last known advertisement of a server's limit.
 type Advertisement struct {
-	// Advertised is set if the server's last response had a limit. Otherwise only earlier ones had.
+	// Advertised is set unless the limit was lifted by responses without it.
 	Advertised bool
 	PerSecond  float64
 	// At is when the limit was received, or when the request for the response without it was sent.
