--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -63,7 +63,7 @@
 }
 
 // MarkDraining records that a server announced its draining in a response. The server list may lack
-// this while its source is unavailable, and the server would continue to get requests.
+// this while its source is unavailable, and the server would otherwise continue to get requests.
 func (pool *Pool) MarkDraining(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -118,10 +118,10 @@
 	pool.publisher.Publish(Report{Server: id, Phase: PhaseEnded, Health: HealthUnreportedMemory, Memory: hidden})
 }
 
-// setHiddenMemory counts memory in use that no VM reported. The period doubles on each repetition,
-// up to Settings.HiddenMax, and starts again at Settings.HiddenMin if the last one ended more than
-// HiddenMax ago: mostly such memory belongs to a request that just ended, and is released within
-// moments.
+// setHiddenMemory counts memory in use that no VM reported. The first period is short,
+// Settings.HiddenMin, since such memory mostly belongs to a request that just ended, and is released
+// within moments. The period doubles on each repetition, up to Settings.HiddenMax. It starts again
+// at HiddenMin if the last one ended more than HiddenMax ago.
 func (pool *Pool) setHiddenMemory(server *server, tokens int) {
 	now := pool.now()
 	settings := pool.settings
--- a/internal/pool/limit.go
+++ b/internal/pool/limit.go
@@ -11,8 +11,7 @@
 
 const (
 	// limitReportDuration is for how long a VM that doesn't coordinate repeats the reports of a
-	// limit after it observed it. Coordinators report their limits for as long as they are in
-	// force.
+	// limit after it observed it. Coordinators report limits for as long as they are advertised.
 	limitReportDuration = 10 * time.Second
 	// datagramTransitTime is the usual upper bound on the transit time of a datagram. A limit that
 	// VMs repeat to each other is not taken for a newer one if it differs by less than this.
@@ -93,8 +92,8 @@
 	}
 }
 
-// OwnLimitReports returns the reports of rate limits that this VM sends to others: all limits in
-// force, or only those observed recently.
+// OwnLimitReports returns the reports of rate limits that this VM sends to others: those of limits
+// that were advertised or lifted recently and, if all is set, of all others that are advertised.
 func (pool *Pool) OwnLimitReports(all bool) []Report {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -123,7 +122,7 @@
 	return report
 }
 
-// RateLimited returns the number of servers whose last response advertised a rate limit.
+// RateLimited returns the number of servers whose advertised rate limit was not lifted.
 func (pool *Pool) RateLimited() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/pool/listener.go
+++ b/internal/pool/listener.go
@@ -142,7 +142,8 @@
 	return !maybeStale
 }
 
-// rebuildIndex drops removed servers that have no attempts, and sorts the others by service.
+// rebuildIndex drops removed and replaced servers that have no attempts, and sorts the others by
+// service and rank.
 func (pool *Pool) rebuildIndex() {
 	now := pool.now()
 	maps.DeleteFunc(pool.listed, func(_, id string) bool { return pool.servers[id] == nil })
