--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -110,7 +110,8 @@
 }
 
 // crashesOnProbation returns the crashes under a request after its quarantine that no wave
-// explains. Those with another known cause don't count.
+// explains. Other requests on the server don't matter, since this one was found to be a cause
+// before, unless one of them was too.
 func (evidence evidence) crashesOnProbation(request *suspect) []*crash {
 	return without(evidence.unexplainedCrashes(request), func(crash *crash) bool {
 		return !crash.at.After(request.entry.Until) || crash.hasKnownCause(request)
--- a/internal/quarantine/settings.go
+++ b/internal/quarantine/settings.go
@@ -5,12 +5,12 @@
 // Settings define when a request counts as the cause of lost servers, and for how long it is
 // quarantined.
 type Settings struct {
-	// Limit is the number of lost servers without another explanation that quarantine a request.
-	// The users allow three.
+	// Limit is the number of servers that must be lost under a request, without another
+	// explanation, before it is quarantined. The users allow three.
 	Limit int `yaml:"limit" validate:"min=1"`
-	// CertainLimit is the number of lost servers that quarantine a request whatever else may
-	// explain them, so that other crashes cannot hide a request that crashes servers. It leaves two
-	// of the three attempts that the users allow after the third crash.
+	// CertainLimit is the number of lost servers after which a request is quarantined whatever else
+	// may explain them, so that other crashes cannot hide a request that crashes servers. Of the
+	// three attempts that the users allow after the third crash it leaves two.
 	CertainLimit int `yaml:"certain" validate:"gtefield=Limit"`
 	// Moment is the longest time between losses that count as one event: the connections of one
 	// server break within a few milliseconds, and so do those of all servers in a wave. Crashes
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -7,10 +7,10 @@
 	notify func()
 }
 
-// Watch calls notify when a request is quarantined, until stop is called. It ends a request that is
-// queued, or that a server has not begun to run: otherwise the attempts in flight when the cause is
-// found crash their servers too. The tracker's lock is held during the call, so notify must not
-// block or call the tracker.
+// Watch calls notify when a request is quarantined, until stop is called. With it the caller ends a
+// request that is queued, or that a server has not begun to run: otherwise the attempts in flight
+// when the cause is found crash their servers too. The tracker's lock is held during the call, so
+// notify must not block or call the tracker.
 func (tracker *Tracker) Watch(request fingerprint.Fingerprint, notify func()) (stop func()) {
 	added := &watch{notify: notify}
 	tracker.mu.Lock()
