--- a/internal/exchange/registry.go
+++ b/internal/exchange/registry.go
@@ -148,7 +148,8 @@
 	return exchange.liveCount() > 1
 }
 
-// contactMembers says hello to the VMs that were just read from the registry.
+// contactMembers says hello to this VM's helloTargets after members were read from the registry, and marks this VM as
+// joined if BootstrapTime is over.
 func (exchange *Exchange) contactMembers(members []Member) {
 	current, known := exchange.epochs.Current()
 	exchange.logger.Info("read the registry", "members", len(members), "epoch", current, "epoch_told", known)
@@ -197,7 +198,7 @@
 // a suspension the peers that were live before it count as live. Live peers respond within milliseconds.
 const peerResponseTimeout = 150 * time.Millisecond
 
-// Resumed says hello to the peers after this VM was suspended for the given time. Peers that were live before count as
+// Resumed says hello to the helloTargets after this VM was suspended for the given time. Peers that were live before count as
 // live for peerResponseTimeout, so that they have time to respond. Otherwise this VM would become its own coordinator and
 // assign requests by outdated reports.
 func (exchange *Exchange) Resumed(suspended time.Duration) {
--- a/internal/exchange/role.go
+++ b/internal/exchange/role.go
@@ -15,7 +15,8 @@
 
 // Role implements feed.Members. In each data centre with at least minimum known VMs, the live VM with the greatest link
 // capacity reads the store for the others; rendezvous hashing breaks ties. VMs for whose address avoid returns true, and
-// VMs that the store doesn't respond to, are passed over. Until this VM has joined the fleet, the role is unsettled.
+// VMs that the store doesn't respond to, are passed over. MembersUnknown is set until this VM has joined the fleet, and
+// while it would be the reader but has never received a datagram from a peer of at least its own capacity.
 func (exchange *Exchange) Role(minimum int, avoid func(address string) bool) feed.Role {
 	exchange.mu.Lock()
 	defer exchange.mu.Unlock()
