--- a/internal/pool/active_request.go
+++ b/internal/pool/active_request.go
@@ -70,7 +70,7 @@
 	HealthSucceeded
 	// HealthFailed is a failed request or a timeout.
 	HealthFailed
-	// HealthClosed is a server that accepts no more requests.
+	// HealthClosed is a server that accepts no more requests, see Pool.MarkClosed.
 	HealthClosed
 	// HealthUnreportedMemory is KV memory in use that no VM has reported. Its amount is the
 	// report's Memory.
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -46,7 +46,8 @@
 	return server.ejection.RecordFailure(pool.now(), pool.settings.ejection())
 }
 
-// MarkClosed records a server's own response that it accepts no more requests, and publishes it.
+// MarkClosed records that a server accepts no more requests, since the response from its address was
+// that this belongs to another server by now, and publishes it.
 func (pool *Pool) MarkClosed(id string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
