--- a/internal/cmd/mastwinchcmd.go
+++ b/internal/cmd/mastwinchcmd.go
@@ -171,7 +171,8 @@
 	})
 }
 
-// removeObject deletes the object of the entry that the single argument names, if it has the version of the --version flag.
+// removeObject deletes the object that the single argument names, by a request to the entry. It does so only if the object
+// has the version of the --version flag.
 func removeObject(ctx context.Context, command *cli.Command, path string) error {
 	query := "?version=" + strconv.FormatUint(command.Uint64(flagVersion), 10)
 	return changeObject(ctx, command, http.MethodDelete, path, query, nil)
@@ -213,7 +214,7 @@
 	return url.PathEscape(command.Args().First()), nil
 }
 
-// changeObject sends a request that changes the object of the entry that the single argument names, and prints the response. The
+// changeObject sends the entry a request that changes the object that the single argument names, and prints the response. The
 // request path is path, the escaped name and query; a nil value is sent as null.
 func changeObject(ctx context.Context, command *cli.Command, method, path, query string, value any) error {
 	name, err := escapedName(command)
