--- a/internal/entry/fetch.go
+++ b/internal/entry/fetch.go
@@ -97,7 +97,7 @@
 
 // findRequest returns the request named in the path: from the registry of this entry,
 // or by adopting its stream from an engine. A request that another entry admitted
-// is first forwarded to that entry. find reports true if it has written the
+// is first forwarded to that entry. findRequest reports true if it has written the
 // response itself, and returns nil and false if the request was not found.
 func (entry *Entry) findRequest(
 	w http.ResponseWriter, r *http.Request, organisation string, last relay.Position,
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -93,7 +93,7 @@
 			select {
 			case <-changed:
 			case <-ctx.Done():
-				entry.logger.Info("abandoned begin record did not take effect", "request_id", abandoned.ID, "record_id", begin.GetId())
+				entry.logger.Info("abandoned begin record has not taken effect; no longer watching for it", "request_id", abandoned.ID, "record_id", begin.GetId())
 				return
 			}
 		}
