--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -18,7 +18,7 @@
 	RetryMax time.Duration `yaml:"retry_max" validate:"min=1ms"`
 }
 
-// WithMinSettleTime returns the settings with Settle raised to minimum if it is shorter.
+// WithMinSettleTime returns the settings with SettleTime raised to minimum if it is shorter.
 func (settings Settings) WithMinSettleTime(minimum time.Duration) Settings {
 	settings.SettleTime = max(settings.SettleTime, minimum)
 	return settings
