--- a/internal/keeper/follower.go
+++ b/internal/keeper/follower.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// asExpired reports whether err is an platformclient.ExpiredError, and returns it as one.
+// asExpired reports whether err is a platformclient.ExpiredError, and returns it as one.
 func asExpired(err error) (*platformclient.ExpiredError, bool) {
 	var expired *platformclient.ExpiredError
 	ok := errors.As(err, &expired)
