--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,7 +37,7 @@
 	OpenMin    time.Duration `yaml:"open_min" validate:"min=10ms"`
 	OpenFactor float64       `yaml:"open_times" validate:"min=1"`
 	OpenMax    time.Duration `yaml:"open_max" validate:"min=10ms,gtefield=OpenMin"`
-	// HistoryRetention is how long the duration of the last connection attempt to a server is kept.
+	// HistoryRetention is how long the record of the connection attempts to a server is kept after the last one.
 	HistoryRetention time.Duration `yaml:"open_memory" validate:"min=1s"`
 }
 
