--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -123,7 +123,7 @@
 }
 
 // sendErrorResult returns the result of a request that could not be sent or got no response:
-// whether it may have been executed depends on how far the sending came.
+// it was certainly not executed only if no connection was made.
 func sendErrorResult(ctx context.Context, err error) result {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
@@ -132,8 +132,9 @@
 	return result{kind: resultUncertain, connectionLost: ctx.Err() == nil, err: err}
 }
 
-// responseTimeout returns how long the server may take to respond. Zero means until the deadline,
-// which applies when no further attempt is possible.
+// responseTimeout returns how long the server may take until the first event of a stream, or until
+// the end of a plain response. Zero means until the deadline, which applies when no further attempt
+// is possible.
 func (forwarder *forwarder) responseTimeout(plan placement.Plan) time.Duration {
 	settings := forwarder.gateway.settings.Request
 	if !forwarder.route.Repeatable() || forwarder.executions+1 >= forwarder.route.MaxAttempts {
@@ -218,7 +219,8 @@
 	// watchdog cancels the attempt when the server sends nothing for too long. It is nil if the
 	// attempt has no such limit.
 	watchdog *time.Timer
-	// responseTimeout is how long the server may take to respond.
+	// responseTimeout is how long the server may take until the first event of a stream, or until
+	// the end of a plain response.
 	responseTimeout time.Duration
 	// callerStalled is true once the caller was slow to read an event. Events that the server sent
 	// before that are still read afterwards.
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -16,8 +16,8 @@
 const (
 	// crashesAllowed is the number of servers that may crash before the request must be identified as the cause.
 	crashesAllowed = 3
-	// quarantineTime is the time from that crash until all VMs must have quarantined the request, and sendsAllowed the
-	// number of times that it may still be sent afterwards.
+	// quarantineTime is the time from the last of these crashes until all VMs must have quarantined the request, and
+	// sendsAllowed the number of times that it may still be sent afterwards.
 	quarantineTime = 3 * time.Second
 	sendsAllowed   = 3
 )
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDisconnectedCallersCancelRequests has callers that disconnect while their request is queued, waits for its first event
-// or is not complete. Its server must receive the cancellation within half a second, and no server may receive it later.
+// TestDisconnectedCallersCancelRequests has callers that disconnect while their request is queued, waits for a response, or
+// has not been sent in full. A server that has the request must receive the cancellation within half a second, and no server
+// may receive the request after its caller has disconnected.
 func TestDisconnectedCallersCancelRequests(t *testing.T) {
 	// Longer than the key/value memory of the only engine, so that it stays queued.
 	tooLong := streamRequest("chat").with("Token-Counts", "300000,500")
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -7,8 +7,9 @@
 	"github.com/mastwinch/mastwinch/internal/wait"
 )
 
-// drain makes the VM report not ready, refuses new requests after the notice time, waits until
-// requests in flight have ended or the grace period is nearly over, and then stops the process.
+// drain makes the VM report not ready, refuses new requests after DrainSettings.RefuseDelay, waits
+// until requests in flight have ended or the grace period is nearly over, and then stops the
+// process.
 func (gateway *Gateway) drain(servers ...*http.Server) {
 	gateway.stopping.Store(true)
 	requestedAt := gateway.now()
@@ -20,7 +21,7 @@
 	for gateway.inFlight.Load() > 0 && gateway.now().Before(latestEnd) {
 		wait.For(gateway.baseContext, drainPollInterval)
 	}
-	gateway.logger.Info("gateway drained", "running", gateway.inFlight.Load(), "after", gateway.now().Sub(requestedAt))
+	gateway.logger.Info("gateway stops after the drain", "running", gateway.inFlight.Load(), "after", gateway.now().Sub(requestedAt))
 	gateway.cancelBase(errStopping)
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), gateway.settings.Drain.ShutdownReserve/2)
 	defer cancel()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -294,7 +294,7 @@
 }
 
 // Reload applies the settings file as it is now. Bounds take effect at once; all other changes need
-// a restart, and are logged.
+// a restart, and whether there are any is logged.
 func (gateway *Gateway) Reload(site Site) {
 	bounds := site.Bounds
 	gateway.bounds.Store(&bounds)
--- a/internal/gateway/memorylimit.go
+++ b/internal/gateway/memorylimit.go
@@ -34,7 +34,8 @@
 	memoryLimit.usedBytes.Add(-byteCount)
 }
 
-// fits reports whether the given number of bytes would be within the limit now. It counts nothing.
+// fits reports whether the given number of bytes, added to those counted, would be within the limit
+// now. It counts nothing.
 func (memoryLimit *memoryLimit) fits(byteCount int64) bool {
 	return memoryLimit.maxBytes <= 0 || memoryLimit.usedBytes.Load()+byteCount <= memoryLimit.maxBytes
 }
--- a/internal/gateway/operatorstate.go
+++ b/internal/gateway/operatorstate.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// await returns the configuration in force. If there is none yet it waits until ctx is done, and
-// then returns nil.
+// await returns the configuration in force. If there is none yet it waits for the first one, and
+// returns nil if ctx is done before that.
 func (operatorState *operatorState) await(ctx context.Context) *catalog.Catalog {
 	select {
 	case <-operatorState.configured:
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -41,7 +41,7 @@
 // detail returns what a caller can do beyond what the status implies, or an empty string.
 func (reason Reason) detail() string {
 	if reason == ReasonCrashesServers {
-		return "servers crash under this request; another try does not help until the time to return"
+		return "servers crash while processing this request; retries are refused until its quarantine ends"
 	}
 	return ""
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -63,8 +63,9 @@
 	return forwarder.sends == 0 && forwarder.gateway.now().After(forwarder.queueDeadline())
 }
 
-// availableServers returns the servers that may get a request, with this VM's connections to them.
-// It excludes servers that were tried and servers that requested backoff from this VM.
+// availableServers returns the servers that may get a request, and marks those to which this VM has
+// an idle connection. It excludes servers that were tried and servers that requested backoff from
+// this VM.
 func (gateway *Gateway) availableServers(service *catalog.Service, tried []string) []placement.Server {
 	servers := placement.WithoutIDs(gateway.pool.Eligible(service, tried), gateway.pool.BackoffServers(gateway.site.VM))
 	for i := range servers {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -124,7 +124,7 @@
 	}
 	request.service = service
 	if !request.restrictDataCentres(gateway.site.Regions) {
-		return request, failure(ReasonNoAllowedRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in all that are allowed"
+		return request, failure(ReasonNoAllowedRegion, false, gateway.storeRetryAfter()), "regions: no data centre is in an allowed region"
 	}
 	request.setDeadlines(gateway.settings.Request.DeadlineMargin)
 	request.firstTriedAt = gateway.retryDetector.firstTriedAt(route.Name, route.Timeout, request.callerDeadline.Sub(arrivedAt))
@@ -243,7 +243,7 @@
 }
 
 // recordEnd logs and counts the end of a request. The forwarder is empty for a request that was
-// refused before it was executed.
+// refused before it was forwarded.
 func (gateway *Gateway) recordEnd(admitted *admitted, outcome outcome, forwarder *forwarder) {
 	duration := gateway.now().Sub(admitted.arrivedAt)
 	route, version := &catalog.Route{}, int64(0)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -65,8 +65,9 @@
 	// several times. Without it, a prompt too long to ever meet its objective is refused even while
 	// servers are idle.
 	QueueTimeExtra time.Duration `yaml:"last_look" validate:"min=0"`
-	// FirstEventMargin is how long after the predicted time the first event may arrive before
-	// another server is tried. FirstEventFactor is the fraction of the prediction that is added to it.
+	// FirstEventMargin and FirstEventFactor give how long a server may take for its first event
+	// before another server is tried: the margin, plus the factor times the predicted time or the
+	// route's objective, whichever is longer.
 	FirstEventMargin time.Duration `yaml:"silence" validate:"min=10ms"`
 	FirstEventFactor float64       `yaml:"silence_part" validate:"min=0"`
 	// StreamTimeoutMin is the shortest time without an event after which a stream is resumed on
@@ -110,8 +111,8 @@
 
 // DrainSettings are the parameters of a planned stop.
 type DrainSettings struct {
-	// RefuseDelay is how long after the request to stop the load balancer may still open
-	// connections to this VM.
+	// RefuseDelay is how long a draining VM still accepts new requests: the load balancer may open
+	// connections to it for that long after the stop was requested.
 	RefuseDelay time.Duration `yaml:"notice" validate:"min=0"`
 	// ShutdownReserve is the part of the grace period kept for aborting requests that have not
 	// ended.
