--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -243,7 +243,7 @@
 }
 
 // recordEnd logs and counts the end of a request. The forwarder is empty for a request that was
-// refused before it was executed.
+// refused before it was forwarded.
 func (gateway *Gateway) recordEnd(admitted *admitted, outcome outcome, forwarder *forwarder) {
 	duration := gateway.now().Sub(admitted.arrivedAt)
 	route, version := &catalog.Route{}, int64(0)
